--- a/Libraries/LibDecision/AnswerPace.h
+++ b/Libraries/LibDecision/AnswerDurationEstimator.h
@@ -15,14 +15,14 @@
 namespace Spurtide {
 
 /// How long answers of a service take, from those that ended whole on this VM.
-class AnswerPace {
+class AnswerDurationEstimator {
 public:
     /// Takes the time from an answer's first event to its last and its tokens.
-    void note(std::string_view service, std::int64_t tokens, Duration took)
+    void add_sample(std::string_view service, std::int64_t tokens, Duration duration)
     {
-        if (tokens < FEWEST_TOKENS || took <= Duration::zero())
+        if (tokens < MINIMUM_TOKENS || duration <= Duration::zero())
             return;
-        auto const sample = to_seconds(took) / static_cast<double>(tokens);
+        auto const sample = to_seconds(duration) / static_cast<double>(tokens);
         auto const found = this->seconds_per_token.find(service);
         if (found == this->seconds_per_token.end())
             this->seconds_per_token.emplace(service, sample);
@@ -32,23 +32,23 @@
 
     /// The time within which nine in ten answers end of which so many tokens are expected in the median; empty before
     /// any was seen. The spread is the standard deviation of the logarithm of lengths against what was expected.
-    std::optional<Duration> probable(std::string_view service, std::int64_t expected_tokens, std::int64_t maximum_tokens, double spread) const
+    std::optional<Duration> percentile_90(std::string_view service, std::int64_t expected_tokens, std::int64_t maximum_tokens, double spread) const
     {
         auto const found = this->seconds_per_token.find(service);
         if (found == this->seconds_per_token.end())
             return {};
         auto const maximum = static_cast<double>(maximum_tokens);
-        auto const likely = expected_tokens > 0 ? static_cast<double>(expected_tokens) * std::exp(NINE_IN_TEN * spread) : maximum;
-        return from_seconds(found->second * (maximum_tokens > 0 ? std::min(likely, maximum) : likely));
+        auto const percentile_tokens = expected_tokens > 0 ? static_cast<double>(expected_tokens) * std::exp(PERCENTILE_90_DEVIATIONS * spread) : maximum;
+        return from_seconds(found->second * (maximum_tokens > 0 ? std::min(percentile_tokens, maximum) : percentile_tokens));
     }
 
 private:
     /// Fewer say too little of a pace.
-    static constexpr std::int64_t FEWEST_TOKENS = 8;
+    static constexpr std::int64_t MINIMUM_TOKENS = 8;
     /// Some ten answers back: paces change with how full engines are.
     static constexpr double SMOOTHING = 0.2;
     /// Standard deviations above the median.
-    static constexpr double NINE_IN_TEN = 1.28;
+    static constexpr double PERCENTILE_90_DEVIATIONS = 1.28;
 
     std::map<std::string, double, std::less<>> seconds_per_token;
 };
--- a/Libraries/LibRouter/Entry.cpp
+++ b/Libraries/LibRouter/Entry.cpp
@@ -70,7 +70,7 @@
     if (!request.prompt || route.targets.empty())
         return expected;
     auto const& prompt = *request.prompt;
-    auto const answer = this->state.answer_pace.probable(route.targets.front().service, prompt.expected_output_tokens, prompt.maximum_output_tokens, this->state.length_spread);
+    auto const answer = this->state.answer_pace.percentile_90(route.targets.front().service, prompt.expected_output_tokens, prompt.maximum_output_tokens, this->state.length_spread);
     if (answer)
         expected.probable = route.latency_target + *answer;
     return expected;
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -5,7 +5,7 @@
 
 #include <LibAsync/ConnectionPool.h>
 #include <LibCore/Metrics.h>
-#include <LibDecision/AnswerPace.h>
+#include <LibDecision/AnswerDurationEstimator.h>
 #include <LibDecision/ColdTurns.h>
 #include <LibDecision/Residency.h>
 #include <LibDecision/RouteTable.h>
@@ -50,7 +50,7 @@
     ColdTurns cold_turns { ColdTurns::Options {} };
     /// Those that are alive, or on the other side of a cut.
     std::function<SendingMachines()> sending_machines = [] { return SendingMachines {}; };
-    AnswerPace answer_pace {};
+    AnswerDurationEstimator answer_pace {};
     /// How far answers' lengths are from what callers expect: standard deviation of the logarithm.
     double length_spread = 0.6;
     PlacementClient* placement = nullptr;
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -497,7 +497,7 @@
         if (!is_end)
             continue;
         this->note_completed();
-        this->state.answer_pace.note(this->service, this->relayed_tokens(), std::chrono::duration_cast<Duration>(this->last_event_at - this->first_event_at));
+        this->state.answer_pace.add_sample(this->service, this->relayed_tokens(), std::chrono::duration_cast<Duration>(this->last_event_at - this->first_event_at));
         auto const finished = co_await this->exchange.finish();
         this->log_end(finished.is_error() ? "caller_left" : "answered", "stream", head.status);
         this->state.metrics.observe_seconds("spurtide_longest_pause_seconds", "Longest pause between events of a stream that ended whole", to_seconds(this->longest_pause));
--- a/Tests/LibDecision/TestStopPolicy.cpp
+++ b/Tests/LibDecision/TestStopPolicy.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/AnswerPace.h>
+#include <LibDecision/AnswerDurationEstimator.h>
 #include <LibDecision/StopPolicy.h>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -46,22 +46,22 @@
 
 TEST_CASE("The time of nine in ten answers follows their pace and what is expected of them")
 {
-    AnswerPace pace;
-    CHECK_FALSE(pace.probable("engines", 1000, 4000, 0.6));
+    AnswerDurationEstimator pace;
+    CHECK_FALSE(pace.percentile_90("engines", 1000, 4000, 0.6));
     // Too little to tell, and times of nothing.
-    pace.note("engines", 7, seconds(1));
-    pace.note("engines", 1000, Duration::zero());
-    CHECK_FALSE(pace.probable("engines", 1000, 4000, 0.6));
-    pace.note("engines", 1000, seconds(1));
-    CHECK_FALSE(pace.probable("others", 1000, 4000, 0.6));
-    CHECK(to_milliseconds(*pace.probable("engines", 1000, 4000, 0.6)) == 2155);
+    pace.add_sample("engines", 7, seconds(1));
+    pace.add_sample("engines", 1000, Duration::zero());
+    CHECK_FALSE(pace.percentile_90("engines", 1000, 4000, 0.6));
+    pace.add_sample("engines", 1000, seconds(1));
+    CHECK_FALSE(pace.percentile_90("others", 1000, 4000, 0.6));
+    CHECK(to_milliseconds(*pace.percentile_90("engines", 1000, 4000, 0.6)) == 2155);
     // Never beyond the longest, which alone counts where nothing is expected.
-    CHECK(to_milliseconds(*pace.probable("engines", 3000, 4000, 0.6)) == 4000);
-    CHECK(to_milliseconds(*pace.probable("engines", 0, 4000, 0.6)) == 4000);
-    CHECK(to_milliseconds(*pace.probable("engines", 1000, 0, 0.6)) == 2155);
+    CHECK(to_milliseconds(*pace.percentile_90("engines", 3000, 4000, 0.6)) == 4000);
+    CHECK(to_milliseconds(*pace.percentile_90("engines", 0, 4000, 0.6)) == 4000);
+    CHECK(to_milliseconds(*pace.percentile_90("engines", 1000, 0, 0.6)) == 2155);
     for (int i = 0; i < 40; ++i)
-        pace.note("engines", 1000, seconds(2));
-    CHECK(to_milliseconds(*pace.probable("engines", 1000, 4000, 0.6)) > 3900);
+        pace.add_sample("engines", 1000, seconds(2));
+    CHECK(to_milliseconds(*pace.percentile_90("engines", 1000, 4000, 0.6)) > 3900);
 }
 
 // Rolling restarts of most VMs of a deployment: the balancer sends each stopping one callers for two more seconds. Lengths
@@ -71,8 +71,8 @@
     std::mt19937_64 random(7);
     std::lognormal_distribution<double> median(std::log(3500.0), 0.5);
     std::lognormal_distribution<double> error(0, 0.6);
-    AnswerPace pace;
-    pace.note("engines", 1000, seconds(1));
+    AnswerDurationEstimator pace;
+    pace.add_sample("engines", 1000, seconds(1));
     struct Count {
         int taken = 0;
         int cut = 0;
@@ -90,7 +90,7 @@
             ++counted.taken;
             counted.cut += ends_after > left ? 1 : 0;
         };
-        count({ seconds(14), milliseconds(500) + *pace.probable("engines", static_cast<std::int64_t>(expected), 11'000, 0.6) }, by_pace);
+        count({ seconds(14), milliseconds(500) + *pace.percentile_90("engines", static_cast<std::int64_t>(expected), 11'000, 0.6) }, by_pace);
         count({ seconds(14) }, by_third);
     }
     CHECK(by_third.taken == STREAMS);
