--- a/Libraries/LibDecision/AnswerVerdict.cpp
+++ b/Libraries/LibDecision/RetryPolicy.cpp
@@ -2,12 +2,12 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibCore/Verify.h>
-#include <LibDecision/AnswerVerdict.h>
+#include <LibDecision/RetryPolicy.h>
 #include <array>
 
 namespace Spurtide {
 
-std::string_view to_string(SendEnd end)
+std::string_view to_string(SendOutcome end)
 {
     constexpr std::array<std::string_view, 5> NAMES = { "not_sent", "not_executed", "success", "own_failure", "lost" };
     return NAMES.at(static_cast<std::size_t>(end));
@@ -19,23 +19,23 @@
     return NAMES.at(static_cast<std::size_t>(step));
 }
 
-NextStep next_step(SendEnd end, SendHistory const& history)
+NextStep next_step(SendOutcome end, SendHistory const& history)
 {
     bool const is_repeatable = history.kind == RouteKind::Repeatable;
     bool const may_send = history.another_send == SendHistory::AnotherSend::Allowed;
     bool const ran_before = history.earlier == SendHistory::Earlier::MayHaveRun;
     switch (end) {
-    case SendEnd::Success:
+    case SendOutcome::Success:
         return NextStep::Relay;
-    case SendEnd::OwnFailure:
+    case SendOutcome::OwnFailure:
         return is_repeatable && may_send ? NextStep::SendElsewhere : NextStep::Relay;
-    case SendEnd::NotSent:
-    case SendEnd::NotExecuted:
+    case SendOutcome::NotSent:
+    case SendOutcome::NotExecuted:
         if (may_send && (is_repeatable || !ran_before))
             return NextStep::SendElsewhere;
         // A refusal says that the request has not run, of one that may be repeated as well.
         return ran_before ? NextStep::FailMayHaveRun : NextStep::RefuseNotRun;
-    case SendEnd::Lost:
+    case SendOutcome::Lost:
         return is_repeatable && may_send ? NextStep::SendElsewhere : NextStep::FailMayHaveRun;
     }
     VERIFY_NOT_REACHED();
--- a/Libraries/LibDecision/AnswerVerdict.h
+++ b/Libraries/LibDecision/RetryPolicy.h
@@ -9,7 +9,7 @@
 namespace Spurtide {
 
 /// How a send to an upstream ended, as far as can be told.
-enum class SendEnd {
+enum class SendOutcome {
     /// No connection came up: nothing was sent.
     NotSent,
     /// The upstream said that it did not run the request.
@@ -34,7 +34,7 @@
     FailMayHaveRun,
 };
 
-std::string_view to_string(SendEnd end);
+std::string_view to_string(SendOutcome end);
 std::string_view to_string(NextStep step);
 
 /// What is known of a request when a send ended.
@@ -56,6 +56,6 @@
 
 /// The one table that decides what follows a send. At most once: what may have run is not sent again unless
 /// it is repeatable, and is never called not run.
-NextStep next_step(SendEnd end, SendHistory const& history);
+NextStep next_step(SendOutcome end, SendHistory const& history);
 
 }
--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/PlainFlow.cpp
@@ -25,13 +25,13 @@
 
 Duration time_of_day() { return milliseconds(unix_milliseconds()); }
 
-UpstreamOutcome outcome_of(SendEnd end)
+UpstreamOutcome outcome_of(SendOutcome end)
 {
     switch (end) {
-    case SendEnd::Success:
-    case SendEnd::OwnFailure:
+    case SendOutcome::Success:
+    case SendOutcome::OwnFailure:
         return UpstreamOutcome::Good;
-    case SendEnd::NotExecuted:
+    case SendOutcome::NotExecuted:
         return UpstreamOutcome::Full;
     default:
         return UpstreamOutcome::Bad;
@@ -136,7 +136,7 @@
 asio::awaitable<void> PlainFlow::answer_without_upstream(Attempt const& last)
 {
     // What an upstream answered is of more use than that no other could be asked.
-    if (last.end == SendEnd::OwnFailure) {
+    if (last.end == SendOutcome::OwnFailure) {
         this->note_completed();
         co_await this->relay(last);
         co_return;
@@ -185,16 +185,16 @@
         }
         this->tried.insert(upstream->identity);
         last = co_await this->send_to(*upstream);
-        if (last.end == SendEnd::NotExecuted)
+        if (last.end == SendOutcome::NotExecuted)
             this->note_not_executed();
-        if (this->is_stopped() && last.end != SendEnd::Success) {
+        if (this->is_stopped() && last.end != SendOutcome::Success) {
             co_await this->answer_stopped();
             co_return;
         }
         SendHistory history { this->route.kind, this->earlier, SendHistory::AnotherSend::Spent };
-        if (last.end == SendEnd::NotSent)
+        if (last.end == SendOutcome::NotSent)
             history.another_send = ++connect_tries < CONNECT_TRIES ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
-        else if (last.end != SendEnd::Success)
+        else if (last.end != SendOutcome::Success)
             history.another_send = this->take_another_send(this->sends, LEAST_TIME_FOR_SEND);
         auto const step = next_step(last.end, history);
         LogLine("send_end").with("request", this->request.identifier).with("upstream", upstream->identity).with("end", to_string(last.end)).with("reason", last.reason).with("status", last.head.status).with("next", to_string(step));
@@ -266,9 +266,9 @@
     auto const now = monotonic_now();
     auto const took = std::chrono::duration_cast<Duration>(now - sent_at);
     // What the caller or the clock cut off says nothing about the upstream.
-    auto const outcome = this->is_stopped() && attempt.end == SendEnd::Lost ? UpstreamOutcome::Full : outcome_of(attempt.end);
+    auto const outcome = this->is_stopped() && attempt.end == SendOutcome::Lost ? UpstreamOutcome::Full : outcome_of(attempt.end);
     this->state.selector.note_end(upstream.identity, outcome, took, now);
-    if (attempt.end == SendEnd::Lost)
+    if (attempt.end == SendOutcome::Lost)
         connection->abort();
     if (attempt.broke_off)
         static_cast<void>(co_await this->report_crash(upstream, *attempt.broke_off, sent_at));
@@ -279,7 +279,7 @@
 asio::awaitable<PlainFlow::Attempt> PlainFlow::read_answer(std::shared_ptr<HttpConnection> connection)
 {
     Attempt attempt;
-    attempt.end = SendEnd::Lost;
+    attempt.end = SendOutcome::Lost;
     for (int surplus = 0; surplus <= SURPLUS_ANSWERS; ++surplus) {
         auto head = co_await connection->read_head();
         if (head.is_error()) {
@@ -304,12 +304,12 @@
         bool const is_success = attempt.head.status / 100 == 2;
         attempt.reason = "answered";
         if (facts.is_not_executed || attempt.head.status == 421) {
-            attempt.end = SendEnd::NotExecuted;
+            attempt.end = SendOutcome::NotExecuted;
             attempt.reason = attempt.head.status == 421 ? "other_identity" : "upstream_full";
         } else if (is_success && facts.is_signed && !facts.is_encoded && !facts.identifier.empty())
-            attempt.end = SendEnd::Success;
+            attempt.end = SendOutcome::Success;
         else if (!is_success && facts.is_signed && !facts.is_encoded && attempt.head.status >= 300 && attempt.head.status != 429 && attempt.head.status != 503 && attempt.head.status != 408)
-            attempt.end = SendEnd::OwnFailure;
+            attempt.end = SendOutcome::OwnFailure;
         else
             attempt.reason = "not_its_answer";
         co_return attempt;
--- a/Libraries/LibRouter/PlainFlow.h
+++ b/Libraries/LibRouter/PlainFlow.h
@@ -18,7 +18,7 @@
 
     /// One send and what it brought.
     struct Attempt {
-        SendEnd end = SendEnd::NotSent;
+        SendOutcome end = SendOutcome::NotSent;
         std::string reason;
         HttpResponseHead head;
         std::string body;
--- a/Libraries/LibRouter/RequestFlow.h
+++ b/Libraries/LibRouter/RequestFlow.h
@@ -5,8 +5,8 @@
 
 #include <LibAsync/HttpExchange.h>
 #include <LibCore/LogLine.h>
-#include <LibDecision/AnswerVerdict.h>
 #include <LibDecision/RequestFingerprint.h>
+#include <LibDecision/RetryPolicy.h>
 #include <LibDecision/SendLedger.h>
 #include <LibRouter/RouterState.h>
 #include <functional>
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -232,7 +232,7 @@
     if (!decode_engine || (!grant.prefill_engine.empty() && !prefill_engine)) {
         // The keeper knows an engine that this VM has not heard of, or not any more.
         this->failed_engines.push_back(decode_engine ? grant.prefill_engine : grant.decode_engine);
-        co_return co_await this->give_up(SendEnd::NotSent, "unknown_engine");
+        co_return co_await this->give_up(SendOutcome::NotSent, "unknown_engine");
     }
     this->last_engine = grant.decode_engine;
     Dispatch dispatch;
@@ -240,7 +240,7 @@
     UpstreamRecord const decoder = *decode_engine;
     auto const decode_address = parse_address(decoder.address);
     if (!decode_address)
-        co_return co_await this->give_up(SendEnd::NotSent, "bad_address");
+        co_return co_await this->give_up(SendOutcome::NotSent, "bad_address");
     // A prompt that is read before the decode engine turns out to be away is read for nothing.
     auto reserved = co_await this->state.pool.acquire(*decode_address, this->freshness());
     if (!reserved.is_error())
@@ -250,11 +250,11 @@
     if (reserved.is_error()) {
         this->state.prober.note_unreachable(decoder, reserved.error());
         this->failed_engine = decoder.identity;
-        co_return co_await this->give_up(SendEnd::NotSent, to_string(reserved.error()));
+        co_return co_await this->give_up(SendOutcome::NotSent, to_string(reserved.error()));
     }
     if (prefill_engine) {
         if (!this->try_pay(SendLedger::Send::Prefill))
-            co_return co_await this->give_up(SendEnd::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
+            co_return co_await this->give_up(SendOutcome::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
         UpstreamRecord const prefiller = *prefill_engine;
         auto cache = co_await this->prefill(prefiller);
         if (this->is_stopped()) {
@@ -263,7 +263,7 @@
             co_return Progress::TryAgain;
         }
         if (!cache)
-            co_return co_await this->give_up(SendEnd::NotSent, "prefill_failed");
+            co_return co_await this->give_up(SendOutcome::NotSent, "prefill_failed");
         this->state.placement->progress(this->request.identifier, GrantProgress::CacheHeld);
         dispatch.stage = DispatchStage::Decode;
         dispatch.cache_address = prefiller.address;
@@ -369,12 +369,12 @@
         if (acquired.is_error()) {
             this->state.prober.note_unreachable(engine, acquired.error());
             this->failed_engine = engine.identity;
-            co_return co_await this->give_up(SendEnd::NotSent, to_string(acquired.error()));
+            co_return co_await this->give_up(SendOutcome::NotSent, to_string(acquired.error()));
         }
         this->state.pool.release(address, acquired.value());
         if (this->is_stopped())
             co_return Progress::TryAgain;
-        co_return co_await this->give_up(SendEnd::NotSent, "upstream_left");
+        co_return co_await this->give_up(SendOutcome::NotSent, "upstream_left");
     }
     auto const connection = acquired.release_value();
     dispatch.account = this->account;
@@ -397,7 +397,7 @@
         if (this->is_stopped())
             co_return Progress::TryAgain;
         this->failed_engine = engine.identity;
-        co_return co_await this->give_up(SendEnd::Lost, to_string(head.error()));
+        co_return co_await this->give_up(SendOutcome::Lost, to_string(head.error()));
     }
     use->note_heard();
     auto const facts = this->state.dialect.read_answer(head.value());
@@ -428,7 +428,7 @@
         this->refusing_engines = { engine.identity };
         if (!dispatch.cache_holder.empty())
             this->refusing_engines.push_back(dispatch.cache_holder);
-        co_return co_await this->give_up(SendEnd::NotExecuted, reason);
+        co_return co_await this->give_up(SendOutcome::NotExecuted, reason);
     }
     if (this->is_stopped())
         co_return Progress::TryAgain;
@@ -440,7 +440,7 @@
         co_return Progress::Over;
     }
     this->failed_engine = engine.identity;
-    co_return co_await this->give_up(SendEnd::Lost, reason);
+    co_return co_await this->give_up(SendOutcome::Lost, reason);
 }
 
 void StreamFlow::note_event(MonotonicTime now)
@@ -473,7 +473,7 @@
                 this->failed_engine = use.identity();
             else
                 this->failed_engines.push_back(use.identity());
-            co_return co_await this->give_up(SendEnd::Lost, to_string(piece.error()));
+            co_return co_await this->give_up(SendOutcome::Lost, to_string(piece.error()));
         }
         this->note_event(monotonic_now());
         use.note_heard();
@@ -506,7 +506,7 @@
 }
 
 // What follows a send that brought no answer.
-asio::awaitable<StreamFlow::Progress> StreamFlow::give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted)
+asio::awaitable<StreamFlow::Progress> StreamFlow::give_up(SendOutcome end, std::string_view reason, SendHistory::AnotherSend wanted)
 {
     // A stream that may go on behind its last event may be sent again, like a call that may be repeated.
     auto const kind = this->route.is_resumable ? RouteKind::Repeatable : RouteKind::NotRepeatable;
@@ -514,7 +514,7 @@
     bool const may_go_on = wanted == SendHistory::AnotherSend::Allowed && this->placements < MOST_PLACEMENTS;
     // What was not sent is no attempt, but a prefill that was refused has arrived.
     if (may_go_on)
-        history.another_send = this->take_another_send(end == SendEnd::NotSent ? 0 : this->sends, LEAST_TIME_FOR_PLACEMENT);
+        history.another_send = this->take_another_send(end == SendOutcome::NotSent ? 0 : this->sends, LEAST_TIME_FOR_PLACEMENT);
     auto const step = next_step(end, history);
     LogLine("send_end").with("request", this->request.identifier).with("upstream", this->last_engine).with("end", to_string(end)).with("reason", reason).with("next", to_string(step));
     if (step == NextStep::SendElsewhere)
--- a/Libraries/LibRouter/StreamFlow.h
+++ b/Libraries/LibRouter/StreamFlow.h
@@ -61,7 +61,7 @@
     asio::awaitable<bool> take_turns(PlacementGrant grant);
     asio::awaitable<void> answer_refusal(PlacementRefusal refusal);
     /// Goes on elsewhere where that is wanted and allowed, else answers.
-    asio::awaitable<Progress> give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted = SendHistory::AnotherSend::Allowed);
+    asio::awaitable<Progress> give_up(SendOutcome end, std::string_view reason, SendHistory::AnotherSend wanted = SendHistory::AnotherSend::Allowed);
     void free_cache(std::string const& address, std::string const& handle);
     ConnectionPool::Freshness freshness() const;
     void release();
--- a/Tests/LibDecision/TestAnswerVerdict.cpp
+++ b/Tests/LibDecision/TestRetryPolicy.cpp
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/AnswerVerdict.h>
+#include <LibDecision/RetryPolicy.h>
 #include <catch2/catch.hpp>
 
 using namespace Spurtide;
 
 namespace {
 
-constexpr std::array ENDS { SendEnd::NotSent, SendEnd::NotExecuted, SendEnd::Success, SendEnd::OwnFailure, SendEnd::Lost };
+constexpr std::array ENDS { SendOutcome::NotSent, SendOutcome::NotExecuted, SendOutcome::Success, SendOutcome::OwnFailure, SendOutcome::Lost };
 constexpr std::array KINDS { RouteKind::Repeatable, RouteKind::NotRepeatable, RouteKind::Stream };
 constexpr std::array EARLIER { SendHistory::Earlier::HasNotRun, SendHistory::Earlier::MayHaveRun };
 constexpr std::array ANOTHER { SendHistory::AnotherSend::Allowed, SendHistory::AnotherSend::Spent };
@@ -31,7 +31,7 @@
 TEST_CASE("What must not be repeated is never sent again once it may have run", "[at-most-once][answer-lost]")
 {
     int sent_again = 0;
-    for_all([&](SendEnd end, SendHistory const& history) {
+    for_all([&](SendOutcome end, SendHistory const& history) {
         if (next_step(end, history) != NextStep::SendElsewhere)
             return;
         ++sent_again;
@@ -39,7 +39,7 @@
         if (history.kind == RouteKind::Repeatable)
             return;
         REQUIRE(history.earlier == SendHistory::Earlier::HasNotRun);
-        REQUIRE((end == SendEnd::NotSent || end == SendEnd::NotExecuted));
+        REQUIRE((end == SendOutcome::NotSent || end == SendOutcome::NotExecuted));
     });
     REQUIRE(sent_again > 0);
 }
@@ -47,11 +47,11 @@
 TEST_CASE("Not run is said only of what has not run", "[not-run][answer-lost]")
 {
     int refused = 0;
-    for_all([&](SendEnd end, SendHistory const& history) {
+    for_all([&](SendOutcome end, SendHistory const& history) {
         if (next_step(end, history) != NextStep::RefuseNotRun)
             return;
         ++refused;
-        REQUIRE((end == SendEnd::NotSent || end == SendEnd::NotExecuted));
+        REQUIRE((end == SendOutcome::NotSent || end == SendOutcome::NotExecuted));
         REQUIRE(history.earlier == SendHistory::Earlier::HasNotRun);
     });
     REQUIRE(refused > 0);
@@ -59,10 +59,10 @@
 
 TEST_CASE("A whole answer is always handed on", "[whole]")
 {
-    for_all([](SendEnd end, SendHistory const& history) {
-        if (end == SendEnd::Success)
+    for_all([](SendOutcome end, SendHistory const& history) {
+        if (end == SendOutcome::Success)
             REQUIRE(next_step(end, history) == NextStep::Relay);
-        else if (end != SendEnd::OwnFailure)
+        else if (end != SendOutcome::OwnFailure)
             REQUIRE(next_step(end, history) != NextStep::Relay);
     });
 }
@@ -71,6 +71,6 @@
 {
     SendHistory const repeatable { RouteKind::Repeatable, SendHistory::Earlier::MayHaveRun, SendHistory::AnotherSend::Allowed };
     SendHistory const once { RouteKind::NotRepeatable, SendHistory::Earlier::MayHaveRun, SendHistory::AnotherSend::Allowed };
-    REQUIRE(next_step(SendEnd::OwnFailure, repeatable) == NextStep::SendElsewhere);
-    REQUIRE(next_step(SendEnd::OwnFailure, once) == NextStep::Relay);
+    REQUIRE(next_step(SendOutcome::OwnFailure, repeatable) == NextStep::SendElsewhere);
+    REQUIRE(next_step(SendOutcome::OwnFailure, once) == NextStep::Relay);
 }
