--- a/Libraries/LibDecision/ColdTurns.h
+++ b/Libraries/LibDecision/ColdUpstreamSchedule.h
@@ -19,14 +19,14 @@
 /// Turns follow each other by the time of day, which all VMs have within some milliseconds. Where it jumps a VM has its turn
 /// beside another's for a while: with turns at times drawn by lot instead, 350 VMs sent a cold upstream 12 requests in a
 /// second where 11 were allowed.
-class ColdTurns {
+class ColdUpstreamSchedule {
 public:
     struct Options {
         /// How long a turn lasts. Within a second all VMs together send what an upstream bears in that time and in this.
         Duration turn = milliseconds(250);
     };
 
-    explicit ColdTurns(Options options)
+    explicit ColdUpstreamSchedule(Options options)
         : options(options)
     {
     }
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -6,7 +6,7 @@
 #include <LibAsync/ConnectionPool.h>
 #include <LibCore/Metrics.h>
 #include <LibDecision/AnswerDurationEstimator.h>
-#include <LibDecision/ColdTurns.h>
+#include <LibDecision/ColdUpstreamSchedule.h>
 #include <LibDecision/Residency.h>
 #include <LibDecision/RouteTable.h>
 #include <LibDecision/SharedRetryBudget.h>
@@ -47,7 +47,7 @@
     ReachabilityProber prober { ReachabilityProber::Options {}, loop, reachability, pool, upstreams };
     std::map<std::string, SharedRetryBudget> budgets {};
     /// This VM's part of what cold upstreams bear.
-    ColdTurns cold_turns { ColdTurns::Options {} };
+    ColdUpstreamSchedule cold_turns { ColdUpstreamSchedule::Options {} };
     /// Those that are alive, or on the other side of a cut.
     std::function<SendingMachines()> sending_machines = [] { return SendingMachines {}; };
     AnswerDurationEstimator answer_pace {};
--- a/Tests/LibDecision/TestColdTurns.cpp
+++ b/Tests/LibDecision/TestColdUpstreamSchedule.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibDecision/CellScheduler.h>
-#include <LibDecision/ColdTurns.h>
+#include <LibDecision/ColdUpstreamSchedule.h>
 #include <Tests/Support/VirtualClock.h>
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
         , count(count)
     {
         for (std::size_t i = 0; i < count; ++i)
-            this->machines.emplace_back(ColdTurns::Options {});
+            this->machines.emplace_back(ColdUpstreamSchedule::Options {});
     }
 
     void run(std::int64_t from, std::int64_t to)
@@ -50,7 +50,7 @@
 
     double rate;
     std::size_t count;
-    std::vector<ColdTurns> machines;
+    std::vector<ColdUpstreamSchedule> machines;
     std::vector<std::int64_t> sends;
 };
 
@@ -82,7 +82,7 @@
 
 TEST_CASE("A VM that has to leave a cold upstream to others knows when its turn comes", "[cold]")
 {
-    ColdTurns turns({});
+    ColdUpstreamSchedule turns({});
     SendingMachines const machines { 50, 17 };
     auto const now = seconds(1'700'000'000);
     auto const wait = turns.time_until_turn("u", 10, machines, now);
