--- a/Libraries/LibRouter/EngineKeeper.h
+++ b/Libraries/LibRouter/EngineKeeper.h
@@ -6,8 +6,8 @@
 #include <LibCore/Clock.h>
 #include <LibCore/Metrics.h>
 #include <LibDecision/CellScheduler.h>
+#include <LibDecision/DeadOriginTracker.h>
 #include <LibDecision/EngineSubset.h>
-#include <LibDecision/MissingOrigins.h>
 #include <LibDecision/PauseDetector.h>
 #include <LibDecision/RouteTable.h>
 #include <LibDecision/UpstreamList.h>
@@ -86,7 +86,7 @@
     bool is_timer_set = false;
     std::map<std::string, Kernel::Responder> waiting;
     std::map<std::string, double> account_weights;
-    MissingOrigins missing_origins;
+    DeadOriginTracker missing_origins;
     PauseDetector pauses { PauseDetector::Options {} };
 };
 
--- a/Services/PlacementServer/CellKeeper.h
+++ b/Services/PlacementServer/CellKeeper.h
@@ -7,8 +7,8 @@
 #include <LibCore/Metrics.h>
 #include <LibDecision/CellMap.h>
 #include <LibDecision/CellScheduler.h>
+#include <LibDecision/DeadOriginTracker.h>
 #include <LibDecision/HeldWorkReaper.h>
-#include <LibDecision/MissingOrigins.h>
 #include <LibUpstream/EnginePort.h>
 #include <LibWire/Kernel.h>
 #include <asio/thread_pool.hpp>
@@ -94,7 +94,7 @@
     std::vector<std::string> listed_leaving;
     bool is_handing_over = false;
     std::map<std::string, Kernel::Responder, std::less<>> pending_asks;
-    MissingOrigins missing_origins;
+    DeadOriginTracker missing_origins;
     asio::thread_pool pool;
 };
 
--- a/Tests/LibDecision/TestMissingOrigins.cpp
+++ b/Tests/LibDecision/TestDeadOriginTracker.cpp
@@ -1,17 +1,17 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/MissingOrigins.h>
+#include <LibDecision/DeadOriginTracker.h>
 #include <catch2/catch.hpp>
 
 using namespace Spurtide;
 
 TEST_CASE("An origin is gone once it was missing all through the grace time", "[held][kill]")
 {
-    MissingOrigins missing;
+    DeadOriginTracker missing;
     std::set<std::string> live { "a" };
     auto const gone = [&](std::set<std::string> const& origins, std::int64_t time) {
-        return missing.take_gone(
+        return missing.take_dead(
             origins, [&](auto const& origin) { return live.contains(origin); }, seconds(2), MonotonicTime(milliseconds(time)));
     };
     CHECK(gone({ "a", "b" }, 0).empty());
