--- a/Libraries/LibDecision/HeldWorkReaper.cpp
+++ b/Libraries/LibDecision/OrphanReaper.cpp
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/HeldWorkReaper.h>
+#include <LibDecision/OrphanReaper.h>
 #include <set>
 
 namespace Spurtide {
 
-HeldWorkReaper::Findings HeldWorkReaper::observe(std::string_view engine, std::span<HeldWork const> held, std::function<bool(std::string_view origin)> const& is_alive, MonotonicTime now)
+OrphanReaper::Findings OrphanReaper::observe(std::string_view engine, std::span<HeldWork const> held, std::function<bool(std::string_view origin)> const& is_alive, MonotonicTime now)
 {
     Findings findings;
     std::set<std::string_view> names;
@@ -19,9 +19,9 @@
         }
         if (is_alive(work.origin)) {
             watch.orphaned_since.reset();
-            bool const due = now - watch.first_seen >= this->options.question_after;
-            bool const waits = watch.asked_at && now - *watch.asked_at < this->options.question_interval;
-            if (due && !waits) {
+            bool const is_due = now - watch.first_seen >= this->options.question_delay;
+            bool const is_waiting = watch.asked_at && now - *watch.asked_at < this->options.question_interval;
+            if (is_due && !is_waiting) {
                 watch.asked_at = now;
                 findings.questions.push_back({ work.origin, std::string(engine), work.request });
             }
@@ -40,7 +40,7 @@
     return findings;
 }
 
-void HeldWorkReaper::note_disowned(std::string_view engine, std::string_view request)
+void OrphanReaper::note_disowned(std::string_view engine, std::string_view request)
 {
     auto const found = this->watches.find(Key { std::string(engine), std::string(request) });
     if (found != this->watches.end())
--- a/Libraries/LibDecision/HeldWorkReaper.h
+++ b/Libraries/LibDecision/OrphanReaper.h
@@ -17,18 +17,18 @@
 
 /// Finds work that an engine holds for nobody. Work is cancelled only when its origin disowned it,
 /// or when the origin's incarnation is dead and no reader has taken the stream for a grace time.
-class HeldWorkReaper {
+class OrphanReaper {
 public:
     struct Options {
         /// Time for a caller to come back, through another VM, for the work of a dead origin.
         Duration dead_origin_grace = seconds(2);
         /// Time before an origin is asked about work that the keeper did not grant.
-        Duration question_after = seconds(1);
+        Duration question_delay = seconds(1);
         /// Time between two questions about the same work.
         Duration question_interval = seconds(1);
     };
 
-    explicit HeldWorkReaper(Options options)
+    explicit OrphanReaper(Options options)
         : options(options)
     {
     }
--- a/Services/PlacementServer/CellKeeper.cpp
+++ b/Services/PlacementServer/CellKeeper.cpp
@@ -303,7 +303,7 @@
         this->cancel(cancellation);
 }
 
-void CellKeeper::ask_origin(HeldWorkReaper::Question const& question)
+void CellKeeper::ask_origin(OrphanReaper::Question const& question)
 {
     auto const endpoint = this->kernel.directory().find_incarnation(question.origin);
     if (!endpoint)
@@ -319,7 +319,7 @@
     });
 }
 
-void CellKeeper::cancel(HeldWorkReaper::Cancellation const& cancellation)
+void CellKeeper::cancel(OrphanReaper::Cancellation const& cancellation)
 {
     auto const found = this->engines.find(cancellation.engine);
     if (found == this->engines.end())
--- a/Services/PlacementServer/CellKeeper.h
+++ b/Services/PlacementServer/CellKeeper.h
@@ -8,7 +8,7 @@
 #include <LibDecision/CellMap.h>
 #include <LibDecision/CellScheduler.h>
 #include <LibDecision/DeadOriginTracker.h>
-#include <LibDecision/HeldWorkReaper.h>
+#include <LibDecision/OrphanReaper.h>
 #include <LibUpstream/EnginePort.h>
 #include <LibWire/Kernel.h>
 #include <asio/thread_pool.hpp>
@@ -33,7 +33,7 @@
         Duration report_interval = milliseconds(250);
         std::size_t engine_callers = 8;
         CellScheduler::Options scheduler {};
-        HeldWorkReaper::Options reaper {};
+        OrphanReaper::Options reaper {};
         /// A keeper that is new to an engine waits this long for what entries were granted before.
         Duration settle_time = milliseconds(500);
         /// An origin that is missing from the directory for this long is gone.
@@ -75,8 +75,8 @@
     void poll_engines();
     void take_report(std::string const& name, EngineReport const& report);
     void reap(std::string const& name, EngineReport const& report);
-    void ask_origin(HeldWorkReaper::Question const& question);
-    void cancel(HeldWorkReaper::Cancellation const& cancellation);
+    void ask_origin(OrphanReaper::Question const& question);
+    void cancel(OrphanReaper::Cancellation const& cancellation);
     void forget_dead_origins();
     wire::Envelope status_reply() const;
 
@@ -84,7 +84,7 @@
     Kernel& kernel;
     Metrics& metrics;
     CellScheduler scheduler;
-    HeldWorkReaper reaper;
+    OrphanReaper reaper;
     std::shared_ptr<Configuration const> configuration;
     std::atomic<bool> configured = false;
     std::int64_t mapped_generation = 0;
--- a/Tests/Exploration/World.cpp
+++ b/Tests/Exploration/World.cpp
@@ -112,9 +112,9 @@
     if (this->faults.without_vanishing)
         options.vanish_after = seconds(3600);
     keeper.scheduler = std::make_unique<CellScheduler>(options);
-    HeldWorkReaper::Options reaper;
+    OrphanReaper::Options reaper;
     reaper.dead_origin_grace = seconds(2);
-    keeper.reaper = std::make_unique<HeldWorkReaper>(reaper);
+    keeper.reaper = std::make_unique<OrphanReaper>(reaper);
     keeper.since = this->now;
     std::vector<EngineDescription> descriptions;
     for (auto const& [name, engine] : this->engines)
--- a/Tests/Exploration/World.h
+++ b/Tests/Exploration/World.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <LibDecision/CellScheduler.h>
-#include <LibDecision/HeldWorkReaper.h>
+#include <LibDecision/OrphanReaper.h>
 #include <LibDecision/RequestState.h>
 #include <StandIns/EngineStandIn/EngineModel.h>
 #include <functional>
@@ -87,7 +87,7 @@
 
     struct Keeper {
         std::unique_ptr<CellScheduler> scheduler;
-        std::unique_ptr<HeldWorkReaper> reaper;
+        std::unique_ptr<OrphanReaper> reaper;
         bool is_alive = true;
         MonotonicTime since;
     };
--- a/Tests/LibDecision/TestHeldWorkReaper.cpp
+++ b/Tests/LibDecision/TestOrphanReaper.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/HeldWorkReaper.h>
+#include <LibDecision/OrphanReaper.h>
 #include <Tests/Support/VirtualClock.h>
 #include <catch2/catch.hpp>
 
@@ -22,7 +22,7 @@
 
 TEST_CASE("Work of a live origin is asked about and cancelled only when disowned", "[held][cut]")
 {
-    HeldWorkReaper reaper({ seconds(4), seconds(1), seconds(1) });
+    OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
     CHECK(reaper.observe("d0", held, alive, at_milliseconds(0)).questions.empty());
     auto findings = reaper.observe("d0", held, alive, at_milliseconds(1000));
@@ -38,7 +38,7 @@
 
 TEST_CASE("Work of a dead origin is cancelled after the grace, and never while it is read", "[held][kill]")
 {
-    HeldWorkReaper reaper({ seconds(4), seconds(1), seconds(1) });
+    OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const orphan = { work() };
     std::vector const read = { work(HeldWork::Reader::Attached) };
     CHECK(reaper.observe("d0", orphan, dead, at_milliseconds(0)).cancellations.empty());
@@ -51,7 +51,7 @@
 
 TEST_CASE("An origin that wakes in time keeps its work", "[held][freeze][lapsed-lease]")
 {
-    HeldWorkReaper reaper({ seconds(4), seconds(1), seconds(1) });
+    OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
     reaper.observe("d0", held, dead, at_milliseconds(0));
     reaper.observe("d0", held, alive, at_milliseconds(3000));
@@ -62,7 +62,7 @@
 
 TEST_CASE("A cancel that failed is given again, and work that is gone is forgotten", "[held][answer-lost]")
 {
-    HeldWorkReaper reaper({ seconds(4), seconds(1), seconds(1) });
+    OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
     reaper.observe("d0", held, dead, at_milliseconds(0));
     CHECK(reaper.observe("d0", held, dead, at_milliseconds(4000)).cancellations.size() == 1);
--- a/Tests/Support/Deployment.h
+++ b/Tests/Support/Deployment.h
@@ -34,7 +34,7 @@
         EngineModel::Options engine {};
         Duration engine_delay {};
         EntryLimits limits {};
-        HeldWorkReaper::Options reaper {};
+        OrphanReaper::Options reaper {};
         Duration report_interval = milliseconds(50);
         MembershipTable::Options membership {};
         Duration heartbeat_interval = milliseconds(200);
