--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -85,7 +85,7 @@
         if (is_known && !has_restarted)
             engine = std::move(found->second);
         else {
-            this->paces.try_emplace(description.model, description.prefill_rate);
+            this->prefill_rates.try_emplace(description.model, description.prefill_rate);
             auto const measured = this->model_step_times.find(description.model);
             engine.step_time = measured != this->model_step_times.end() ? measured->second : this->options.first_step_time;
         }
@@ -178,7 +178,7 @@
 
 MonotonicTime CellScheduler::busy_until(Engine const& engine, MonotonicTime now) const
 {
-    auto const time_of = [&](QueuedPrefill const& prefill) { return this->reading_time(engine, prefill.tokens); };
+    auto const time_of = [&](QueuedPrefill const& prefill) { return this->compute_time(engine, prefill.tokens); };
     auto until = now;
     for (std::size_t i = 0; i < engine.prefills.size(); ++i) {
         auto const& prefill = engine.prefills[i];
@@ -187,17 +187,17 @@
     return until;
 }
 
-PrefillPace const& CellScheduler::pace_of(Engine const& engine) const
+PrefillRateEstimator const& CellScheduler::prefill_rate_of(Engine const& engine) const
 {
-    auto const found = this->paces.find(engine.description.model);
-    VERIFY(found != this->paces.end());
+    auto const found = this->prefill_rates.find(engine.description.model);
+    VERIFY(found != this->prefill_rates.end());
     return found->second;
 }
 
 // A decode engine reads between the tokens of others, at half the pace of a prefill engine and somewhat less.
-Duration CellScheduler::reading_time(Engine const& engine, std::int64_t tokens) const
+Duration CellScheduler::compute_time(Engine const& engine, std::int64_t tokens) const
 {
-    auto const usual = to_seconds(this->pace_of(engine).reading_time(tokens));
+    auto const usual = to_seconds(this->prefill_rate_of(engine).compute_time(tokens));
     if (engine.description.role == EngineRole::Prefill)
         return from_seconds(usual * engine.slowness);
     auto const stretch = this->own_prefill_stretch.find(engine.description.model);
@@ -205,26 +205,26 @@
 }
 
 // Only a prompt that waited for none tells the latency of results.
-void CellScheduler::learn_pace(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now)
+void CellScheduler::update_prefill_rate(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now)
 {
     auto const taken = std::chrono::duration_cast<Duration>(now - prefill.started);
     if (taken < SHORTEST_MEASURED_PREFILL)
         return;
-    auto& pace = this->paces.find(engine.description.model)->second;
+    auto& estimator = this->prefill_rates.find(engine.description.model)->second;
     if (engine.description.role == EngineRole::Decode) {
         if (prefill.has_queued)
             return;
         auto& stretch = this->own_prefill_stretch.try_emplace(engine.description.model, FIRST_STRETCH).first->second;
-        auto const reading = to_seconds(pace.reading_time(prefill.tokens)) / OWN_PREFILL_PACE;
-        stretch += RATE_SMOOTHING * (to_seconds(taken - pace.latency()) / reading - stretch);
+        auto const reading = to_seconds(estimator.compute_time(prefill.tokens)) / OWN_PREFILL_PACE;
+        stretch += RATE_SMOOTHING * (to_seconds(taken - estimator.latency()) / reading - stretch);
         stretch = std::clamp(stretch, 1.0, LONGEST_STRETCH);
         return;
     }
     if (!prefill.has_queued)
-        pace.note(prefill.tokens, taken);
-    if (!pace.is_known())
+        estimator.add_sample(prefill.tokens, taken);
+    if (!estimator.is_known())
         return;
-    auto const usual = to_seconds(pace.reading_time(prefill.tokens) + pace.latency());
+    auto const usual = to_seconds(estimator.compute_time(prefill.tokens) + estimator.latency());
     engine.slowness += RATE_SMOOTHING * (to_seconds(taken) / usual - engine.slowness);
     engine.slowness = std::clamp(engine.slowness, FASTEST, SLOWEST);
 }
@@ -242,7 +242,7 @@
     bool const was_first = found == prefills.begin();
     prefills.erase(found);
     if (was_first && !prefills.empty())
-        prefills.front().started = std::max(prefills.front().started, now - this->pace_of(engine->second).latency());
+        prefills.front().started = std::max(prefills.front().started, now - this->prefill_rate_of(engine->second).latency());
 }
 
 // Work from before this keeper's term counts against the engine until its origin or the reaper ends it.
@@ -424,7 +424,7 @@
         auto const& prefills = engine->second.prefills;
         bool const is_first = !prefills.empty() && prefills.front().request == request;
         if (is_first)
-            this->learn_pace(engine->second, prefills.front(), now);
+            this->update_prefill_rate(engine->second, prefills.front(), now);
         this->end_prefill(granted.prefill_engine, request, now);
     }
     if (progress == GrantProgress::Decoding && granted.phase != GrantProgress::Decoding) {
@@ -453,7 +453,7 @@
         return;
     auto const& prefills = engine->second.prefills;
     if (!prefills.empty() && prefills.front().request == granted.ask.request)
-        this->learn_pace(engine->second, prefills.front(), now);
+        this->update_prefill_rate(engine->second, prefills.front(), now);
     this->end_prefill(granted.decode_engine, granted.ask.request, now);
 }
 
@@ -569,9 +569,9 @@
         state.role = engine.description.role;
         state.data_centre = engine.description.data_centre;
         state.work = static_cast<std::int64_t>(engine.prefills.size() + engine.slots.size());
-        state.prefill_rate = this->pace_of(engine).rate();
+        state.prefill_rate = this->prefill_rate_of(engine).rate();
         state.step_time = this->usual_step(engine.description.model);
-        state.is_pace_measured = this->pace_of(engine).is_known() && this->model_step_times.contains(engine.description.model);
+        state.is_rate_measured = this->prefill_rate_of(engine).is_known() && this->model_step_times.contains(engine.description.model);
         state.memory_tokens = static_cast<double>(engine.description.memory_tokens);
         state.decode_slots = engine.description.decode_slots;
         state.is_failing = engine.failures_in_a_row > 0;
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -5,7 +5,7 @@
 
 #include <LibCore/Time.h>
 #include <LibDecision/MemoryForecast.h>
-#include <LibDecision/PrefillPace.h>
+#include <LibDecision/PrefillRateEstimator.h>
 #include <LibDecision/QuantileEstimator.h>
 #include <LibDecision/ReturnBook.h>
 #include <LibDecision/TokenBucket.h>
@@ -314,7 +314,7 @@
         /// Of the model's engines, as far as it was measured.
         double prefill_rate = 0;
         Duration step_time {};
-        bool is_pace_measured = false;
+        bool is_rate_measured = false;
         /// Memory that answers may fill.
         double memory_tokens = 0;
         std::int64_t decode_slots = 0;
@@ -459,10 +459,10 @@
     void end_prefill(std::string_view engine, std::string_view request, MonotonicTime now);
     /// When the engine begins with a prompt that is sent to it now.
     MonotonicTime busy_until(Engine const& engine, MonotonicTime now) const;
-    PrefillPace const& pace_of(Engine const& engine) const;
+    PrefillRateEstimator const& prefill_rate_of(Engine const& engine) const;
     void end_own_prefill(Granted const& granted, MonotonicTime now);
-    void learn_pace(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now);
-    Duration reading_time(Engine const& engine, std::int64_t tokens) const;
+    void update_prefill_rate(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now);
+    Duration compute_time(Engine const& engine, std::int64_t tokens) const;
     bool is_usable(Engine const& engine, MonotonicTime now) const;
     static bool is_cold(Engine const& engine, MonotonicTime now) { return engine.description.cold_rate > 0 && now < engine.description.cold_until; }
     static void take_cold_share(Engine& engine, MonotonicTime now);
@@ -492,7 +492,7 @@
     std::map<std::string, Account, std::less<>> accounts;
     std::map<std::string, QuantileEstimator, std::less<>> output_estimates;
     /// By model.
-    std::map<std::string, PrefillPace, std::less<>> paces;
+    std::map<std::string, PrefillRateEstimator, std::less<>> prefill_rates;
     /// What a decode engine's reading takes against the pace that engines have for it; the steps of the answers that
     /// it makes meanwhile come on top. By model.
     std::map<std::string, double, std::less<>> own_prefill_stretch;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -87,13 +87,13 @@
         return false;
     auto const tokens = ask.prompt_tokens + ask.relayed_tokens;
     auto const in_one_event = std::min(tokens, engine.description.tokens_per_event * LONGEST_OWN_PIECE);
-    auto const pause = this->reading_time(engine, in_one_event) + engine.step_time * engine.description.tokens_per_event;
+    auto const pause = this->compute_time(engine, in_one_event) + engine.step_time * engine.description.tokens_per_event;
     bool const spoils_others = ask.longest_pause > Duration::zero() && !engine.slots.empty() && to_seconds(pause) > PAUSE_SHARE * to_seconds(ask.longest_pause);
     if (spoils_others)
         return false;
     // The answers that it makes hold their memory longer by the time of the reading, as if it took more than one.
     auto const answer_time = this->answer_forecast(ask, 0).expected_tokens * to_seconds(engine.step_time);
-    auto const others = static_cast<double>(engine.slots.size()) * to_seconds(this->reading_time(engine, tokens)) / std::max(to_seconds(engine.step_time), answer_time);
+    auto const others = static_cast<double>(engine.slots.size()) * to_seconds(this->compute_time(engine, tokens)) / std::max(to_seconds(engine.step_time), answer_time);
     return engine.description.memory_tokens == 0 || this->forecast_of(engine, now).has_room_for(this->forecast_of(ask), Duration::zero(), this->usable_memory(engine), 1 + others);
 }
 
@@ -111,7 +111,7 @@
     Placement placement;
     placement.decode = found->first;
     placement.tokens = std::max(ask.relayed_tokens, LONGEST_OWN_PIECE);
-    placement.prefill_end = this->busy_until(engine, now) + this->reading_time(engine, placement.tokens) + this->pace_of(engine).latency();
+    placement.prefill_end = this->busy_until(engine, now) + this->compute_time(engine, placement.tokens) + this->prefill_rate_of(engine).latency();
     placement.first_token = placement.prefill_end + engine.step_time;
     placement.candidates = 1;
     if (!this->has_room(engine, ask, now, placement.prefill_end))
@@ -235,7 +235,7 @@
     for (auto const& [name, engine] : this->engines) {
         bool const reads = engine.description.role == EngineRole::Prefill || this->options.policy.decode_prefill == SchedulerPolicy::DecodePrefill::Overflow;
         if (reads && this->may_take(engine, engine.description.role, ask, now))
-            rate += 1 / std::max(1e-9, to_seconds(this->reading_time(engine, RATE_SAMPLE)));
+            rate += 1 / std::max(1e-9, to_seconds(this->compute_time(engine, RATE_SAMPLE)));
     }
     return rate > 0 ? from_seconds(tokens / (rate * static_cast<double>(RATE_SAMPLE))) : Duration::zero();
 }
@@ -331,7 +331,7 @@
 
 Duration CellScheduler::prefill_time(Engine const& engine, PlacementAsk const& ask) const
 {
-    return this->reading_time(engine, ask.prompt_tokens + ask.relayed_tokens) + this->pace_of(engine).latency();
+    return this->compute_time(engine, ask.prompt_tokens + ask.relayed_tokens) + this->prefill_rate_of(engine).latency();
 }
 
 Duration CellScheduler::transfer_time(Engine const& engine, PlacementAsk const& ask) const
@@ -622,7 +622,7 @@
     for (auto const& [name, engine] : this->engines) {
         if (engine.description.role != EngineRole::Prefill || engine.description.model != model || !this->is_usable(engine, now))
             continue;
-        rate += this->pace_of(engine).rate() / engine.slowness;
+        rate += this->prefill_rate_of(engine).rate() / engine.slowness;
         backlog_seconds = std::max(backlog_seconds, to_seconds(this->busy_until(engine, now) - now));
     }
     if (rate <= 0)
--- a/Libraries/LibRouter/RoleKeeper.cpp
+++ b/Libraries/LibRouter/RoleKeeper.cpp
@@ -86,7 +86,7 @@
             capacity.memory_tokens = std::max(capacity.memory_tokens, engine.memory_tokens);
             capacity.decode_slots = std::max(capacity.decode_slots, engine.decode_slots);
             capacity.step_time = std::max(capacity.step_time, engine.step_time);
-            if (engine.is_pace_measured)
+            if (engine.is_rate_measured)
                 capacity.source = EngineCapacity::Source::Measured;
         }
         auto const change = this->balancer_of(model).next_change(candidates, capacity, now);
