--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -369,7 +369,7 @@
     if (others_wait)
         account->second.served = std::max(account->second.served, least);
     this->ask_forecasts.erase(ask.request);
-    this->recognise_return(ask, now);
+    this->detect_caller_retry(ask, now);
     if (this->refuse_if_hopeless(ask, now))
         return;
     this->waiting.push_back(std::move(ask));
@@ -382,18 +382,18 @@
         retry_after += Duration(static_cast<std::int64_t>(XXH3_64bits(ask.request.data(), ask.request.size()) % static_cast<std::uint64_t>(this->options.return_spread.count())));
     retry_after = std::clamp(retry_after, SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER);
     if (ask.late_deadline && ask.relayed_tokens == 0 && now + retry_after < *ask.late_deadline)
-        this->returns.note_refused(traits_of(ask), ask.first_token_deadline, *ask.late_deadline);
+        this->refusal_history.note_refused(traits_of(ask), ask.first_token_deadline, *ask.late_deadline);
     this->decisions.emplace_back(PlacementRefusal { ask.request, reason, retry_after, ask.visit });
 }
 
 // A caller that comes back counts the time since its first visit. What it wants may be had in time yet, and else late:
 // refused again it would be lost.
-void CellScheduler::recognise_return(PlacementAsk& ask, MonotonicTime now)
+void CellScheduler::detect_caller_retry(PlacementAsk& ask, MonotonicTime now)
 {
     bool const is_first_placement = ask.relayed_tokens == 0 && ask.excluded_engines.empty();
     if (!is_first_placement || ask.own_part.empty() || !ask.late_deadline)
         return;
-    auto const deadline = this->returns.take_return(traits_of(ask), now);
+    auto const deadline = this->refusal_history.take_matching_refusal(traits_of(ask), now);
     if (!deadline)
         return;
     ask.visit = CallerVisit::Return;
@@ -531,7 +531,7 @@
     for (auto const& request : lapsed)
         this->remove_granted(request, now);
     std::erase_if(this->cached, [&](auto const& entry) { return now - entry.second.since > CACHED_PROMPTS_KEPT; });
-    this->returns.forget_before(now);
+    this->refusal_history.remove_expired(now);
     std::erase_if(this->released, [&](auto const& entry) { return now - entry.second > RELEASED_NAMES_KEPT; });
     if (now - this->hopeless_checked >= HOPELESS_CHECK) {
         this->hopeless_checked = now;
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -7,7 +7,7 @@
 #include <LibDecision/MemoryForecast.h>
 #include <LibDecision/PrefillRateEstimator.h>
 #include <LibDecision/QuantileEstimator.h>
-#include <LibDecision/ReturnBook.h>
+#include <LibDecision/RefusalHistory.h>
 #include <LibDecision/TokenBucket.h>
 #include <cstdint>
 #include <functional>
@@ -449,7 +449,7 @@
     std::optional<MonotonicTime> best_first_token(PlacementAsk const& ask, MonotonicTime now) const;
     void grant(PlacementAsk ask, Placement const& placement, MonotonicTime now);
     void refuse(PlacementAsk const& ask, RefusalReason reason, Duration retry_after, MonotonicTime now);
-    void recognise_return(PlacementAsk& ask, MonotonicTime now);
+    void detect_caller_retry(PlacementAsk& ask, MonotonicTime now);
     void remove_granted(std::string request, MonotonicTime now);
     void adopt(Engine& engine, HeldWork const& held, MonotonicTime now);
     void drop_vanished(Engine const& engine, EngineReport const& report, MonotonicTime now);
@@ -501,7 +501,7 @@
     /// By how much first tokens came later than predicted, as a high quantile in milliseconds.
     QuantileEstimator lateness;
     std::vector<PlacementAsk> waiting;
-    ReturnBook returns;
+    RefusalHistory refusal_history;
     /// What waiting requests would hold, by request; filled as needed and emptied now and then.
     mutable std::map<std::string, MemoryForecast, std::less<>> ask_forecasts;
     MonotonicTime hopeless_checked;
--- a/Libraries/LibDecision/ReturnBook.cpp
+++ b/Libraries/LibDecision/RefusalHistory.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/ReturnBook.h>
+#include <LibDecision/RefusalHistory.h>
 #include <array>
 #include <xxhash.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::uint64_t hash_of(RequestTraits const& traits)
+std::uint64_t traits_hash(RequestTraits const& traits)
 {
     auto const text_hash = [](std::string_view text) { return XXH3_64bits(text.data(), text.size()); };
     std::array<std::uint64_t, 6> const parts {
@@ -25,16 +25,16 @@
 
 }
 
-void ReturnBook::note_refused(RequestTraits const& traits, MonotonicTime first_token_deadline, MonotonicTime last_return)
+void RefusalHistory::note_refused(RequestTraits const& traits, MonotonicTime first_token_deadline, MonotonicTime retry_until)
 {
-    this->refused.emplace(hash_of(traits), Refused { first_token_deadline, last_return });
+    this->refused.emplace(traits_hash(traits), Refused { first_token_deadline, retry_until });
 }
 
-std::optional<MonotonicTime> ReturnBook::take_return(RequestTraits const& traits, MonotonicTime now)
+std::optional<MonotonicTime> RefusalHistory::take_matching_refusal(RequestTraits const& traits, MonotonicTime now)
 {
-    auto const [from, to] = this->refused.equal_range(hash_of(traits));
+    auto const [from, to] = this->refused.equal_range(traits_hash(traits));
     for (auto found = from; found != to; ++found) {
-        if (now > found->second.last_return)
+        if (now > found->second.retry_until)
             continue;
         auto const deadline = found->second.first_token_deadline;
         this->refused.erase(found);
@@ -43,9 +43,9 @@
     return {};
 }
 
-void ReturnBook::forget_before(MonotonicTime now)
+void RefusalHistory::remove_expired(MonotonicTime now)
 {
-    std::erase_if(this->refused, [&](auto const& entry) { return now > entry.second.last_return; });
+    std::erase_if(this->refused, [&](auto const& entry) { return now > entry.second.retry_until; });
 }
 
 }
--- a/Libraries/LibDecision/ReturnBook.h
+++ b/Libraries/LibDecision/RefusalHistory.h
@@ -27,22 +27,22 @@
 ///
 /// The time that a caller is willing to wait does not tell: callers differ in patience by more than a short absence
 /// takes, and a router that took the less patient for returns treated three of four first visits as late.
-class ReturnBook {
+class RefusalHistory {
 public:
     /// The request was refused; by the deadline of its first token it wanted to be served, and until the last time its
     /// caller may come back with it.
-    void note_refused(RequestTraits const& traits, MonotonicTime first_token_deadline, MonotonicTime last_return);
+    void note_refused(RequestTraits const& traits, MonotonicTime first_token_deadline, MonotonicTime retry_until);
 
     /// The first token's deadline of the first visit, where this is a return; each refusal answers for one.
-    std::optional<MonotonicTime> take_return(RequestTraits const& traits, MonotonicTime now);
+    std::optional<MonotonicTime> take_matching_refusal(RequestTraits const& traits, MonotonicTime now);
 
-    void forget_before(MonotonicTime now);
+    void remove_expired(MonotonicTime now);
     std::size_t size() const { return this->refused.size(); }
 
 private:
     struct Refused {
         MonotonicTime first_token_deadline;
-        MonotonicTime last_return;
+        MonotonicTime retry_until;
     };
 
     /// By a hash of the traits: two requests that are alike in all of them within seconds are one.
--- a/Tests/LibDecision/TestReturnBook.cpp
+++ b/Tests/LibDecision/TestRefusalHistory.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibDecision/CellScheduler.h>
-#include <LibDecision/ReturnBook.h>
+#include <LibDecision/RefusalHistory.h>
 #include <catch2/catch.hpp>
 
 using namespace Spurtide;
@@ -69,49 +69,49 @@
 
 TEST_CASE("A caller that comes back with its request is known, once for each refusal", "[returns]")
 {
-    ReturnBook book;
-    book.note_refused(traits("a"), at(900), at(8000));
-    CHECK_FALSE(book.take_return(traits("b"), at(100)));
-    REQUIRE(book.take_return(traits("a"), at(1500)) == at(900));
-    CHECK_FALSE(book.take_return(traits("a"), at(1600)));
+    RefusalHistory history;
+    history.note_refused(traits("a"), at(900), at(8000));
+    CHECK_FALSE(history.take_matching_refusal(traits("b"), at(100)));
+    REQUIRE(history.take_matching_refusal(traits("a"), at(1500)) == at(900));
+    CHECK_FALSE(history.take_matching_refusal(traits("a"), at(1600)));
     // Two callers with the same request are each known.
-    book.note_refused(traits("a"), at(900), at(8000));
-    book.note_refused(traits("a"), at(1000), at(8000));
-    CHECK(book.take_return(traits("a"), at(1500)));
-    CHECK(book.take_return(traits("a"), at(1500)));
-    CHECK_FALSE(book.take_return(traits("a"), at(1500)));
+    history.note_refused(traits("a"), at(900), at(8000));
+    history.note_refused(traits("a"), at(1000), at(8000));
+    CHECK(history.take_matching_refusal(traits("a"), at(1500)));
+    CHECK(history.take_matching_refusal(traits("a"), at(1500)));
+    CHECK_FALSE(history.take_matching_refusal(traits("a"), at(1500)));
 }
 
 TEST_CASE("Each trait tells requests apart", "[returns]")
 {
-    ReturnBook book;
+    RefusalHistory history;
     auto const same = traits("a");
-    book.note_refused(same, at(900), at(8000));
+    history.note_refused(same, at(900), at(8000));
     auto other = same;
     other.account = "two";
-    CHECK_FALSE(book.take_return(other, at(1000)));
+    CHECK_FALSE(history.take_matching_refusal(other, at(1000)));
     other = same;
     other.model = "n";
-    CHECK_FALSE(book.take_return(other, at(1000)));
+    CHECK_FALSE(history.take_matching_refusal(other, at(1000)));
     other = same;
     ++other.prompt_tokens;
-    CHECK_FALSE(book.take_return(other, at(1000)));
+    CHECK_FALSE(history.take_matching_refusal(other, at(1000)));
     other = same;
     ++other.maximum_output_tokens;
-    CHECK_FALSE(book.take_return(other, at(1000)));
+    CHECK_FALSE(history.take_matching_refusal(other, at(1000)));
     other = same;
     ++other.expected_output_tokens;
-    CHECK_FALSE(book.take_return(other, at(1000)));
-    CHECK(book.take_return(same, at(1000)));
+    CHECK_FALSE(history.take_matching_refusal(other, at(1000)));
+    CHECK(history.take_matching_refusal(same, at(1000)));
 }
 
 TEST_CASE("Who stays away longer than a caller waits came for something else", "[returns]")
 {
-    ReturnBook book;
-    book.note_refused(traits("a"), at(900), at(8000));
-    CHECK_FALSE(book.take_return(traits("a"), at(8001)));
-    book.forget_before(at(8001));
-    CHECK(book.size() == 0);
+    RefusalHistory history;
+    history.note_refused(traits("a"), at(900), at(8000));
+    CHECK_FALSE(history.take_matching_refusal(traits("a"), at(8001)));
+    history.remove_expired(at(8001));
+    CHECK(history.size() == 0);
 }
 
 TEST_CASE("A return that can be on time is held to its first visit, and one that cannot is served late behind others", "[returns][overload]")
