--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -383,7 +383,7 @@
     retry_after = std::clamp(retry_after, SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER);
     if (ask.late_deadline && ask.relayed_tokens == 0 && now + retry_after < *ask.late_deadline)
         this->refusal_history.note_refused(traits_of(ask), ask.first_token_deadline, *ask.late_deadline);
-    this->decisions.emplace_back(PlacementRefusal { ask.request, reason, retry_after, ask.visit });
+    this->decisions.emplace_back(PlacementRefusal { ask.request, reason, retry_after, ask.caller_attempt });
 }
 
 // A caller that comes back counts the time since its first visit. What it wants may be had in time yet, and else late:
@@ -396,7 +396,7 @@
     auto const deadline = this->refusal_history.take_matching_refusal(traits_of(ask), now);
     if (!deadline)
         return;
-    ask.visit = CallerVisit::Return;
+    ask.caller_attempt = CallerAttempt::Retry;
     auto const best = this->best_first_token(ask, now);
     if (best && *best + this->expected_lateness() <= *deadline) {
         ask.first_token_deadline = *deadline;
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -83,9 +83,9 @@
 };
 
 /// Whether a caller was refused before with the same request.
-enum class CallerVisit {
+enum class CallerAttempt {
     First,
-    Return,
+    Retry,
 };
 
 /// One request that wants a prefill and a decode slot.
@@ -119,7 +119,7 @@
     /// served late rather than not at all.
     std::optional<MonotonicTime> late_deadline {};
     /// Found out by the scheduler.
-    CallerVisit visit = CallerVisit::First;
+    CallerAttempt caller_attempt = CallerAttempt::First;
     /// Cannot be on time any more: goes behind all of its priority that can.
     enum class Timeliness {
         OnTime,
@@ -134,7 +134,7 @@
     std::string decode_engine;
     MonotonicTime predicted_first_token;
     std::size_t candidates = 0;
-    CallerVisit visit = CallerVisit::First;
+    CallerAttempt caller_attempt = CallerAttempt::First;
 };
 
 enum class RefusalReason {
@@ -154,7 +154,7 @@
     RefusalReason reason;
     /// When the caller should come back.
     Duration retry_after {};
-    CallerVisit visit = CallerVisit::First;
+    CallerAttempt caller_attempt = CallerAttempt::First;
 };
 
 using PlacementDecision = std::variant<PlacementGrant, PlacementRefusal>;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -608,7 +608,7 @@
     auto const account = this->accounts.find(ask.account);
     if (account != this->accounts.end())
         account->second.served += this->cost_of(ask) / account->second.description.weight;
-    this->decisions.emplace_back(PlacementGrant { ask.request, placement.prefill, placement.decode, placement.first_token, placement.candidates, ask.visit });
+    this->decisions.emplace_back(PlacementGrant { ask.request, placement.prefill, placement.decode, placement.first_token, placement.candidates, ask.caller_attempt });
     auto const request = ask.request;
     granted.ask = std::move(ask);
     this->granted.emplace(request, std::move(granted));
--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/EngineKeeper.cpp
@@ -25,7 +25,7 @@
 /// of its places taken, and a burst of twice the load has to find room at once.
 constexpr double CROWDED_SHARE = 0.25;
 
-std::string_view visit_name(CallerVisit visit) { return visit == CallerVisit::Return ? "return" : "first"; }
+std::string_view visit_name(CallerAttempt visit) { return visit == CallerAttempt::Retry ? "return" : "first"; }
 
 EngineDescription describe(UpstreamRecord const& record, ServiceTraits const& service)
 {
@@ -309,18 +309,18 @@
             request = grant->request;
             reply.mutable_placement_grant()->set_prefill_engine(grant->prefill_engine);
             reply.mutable_placement_grant()->set_decode_engine(grant->decode_engine);
-            reply.mutable_placement_grant()->set_is_return(grant->visit == CallerVisit::Return);
+            reply.mutable_placement_grant()->set_is_return(grant->caller_attempt == CallerAttempt::Retry);
             this->metrics.increment("spurtide_placements_total", "Decisions of this keeper", { { "outcome", "granted" } });
-            LogLine("placed").with("request", request).with("visit", visit_name(grant->visit)).with("prefill", grant->prefill_engine).with("decode", grant->decode_engine).with("candidates", static_cast<std::int64_t>(grant->candidates));
+            LogLine("placed").with("request", request).with("visit", visit_name(grant->caller_attempt)).with("prefill", grant->prefill_engine).with("decode", grant->decode_engine).with("candidates", static_cast<std::int64_t>(grant->candidates));
         } else {
             auto const& refusal = std::get<PlacementRefusal>(decision);
             request = refusal.request;
             reply.mutable_placement_refusal()->set_reason(wire_reason(refusal.reason));
             reply.mutable_placement_refusal()->set_retry_after_milliseconds(to_milliseconds(refusal.retry_after));
-            reply.mutable_placement_refusal()->set_is_return(refusal.visit == CallerVisit::Return);
+            reply.mutable_placement_refusal()->set_is_return(refusal.caller_attempt == CallerAttempt::Retry);
             this->metrics.increment("spurtide_placements_total", "Decisions of this keeper", { { "outcome", std::string(to_string(refusal.reason)) } });
             auto const summary = this->scheduler.summary(this->hooks.clock());
-            LogLine("not_placed").with("request", request).with("visit", visit_name(refusal.visit)).with("reason", to_string(refusal.reason)).with("retry_after_ms", to_milliseconds(refusal.retry_after)).with("waiting", static_cast<std::int64_t>(summary.waiting)).with("granted", static_cast<std::int64_t>(summary.granted)).with("engines", static_cast<std::int64_t>(summary.engines_heard));
+            LogLine("not_placed").with("request", request).with("visit", visit_name(refusal.caller_attempt)).with("reason", to_string(refusal.reason)).with("retry_after_ms", to_milliseconds(refusal.retry_after)).with("waiting", static_cast<std::int64_t>(summary.waiting)).with("granted", static_cast<std::int64_t>(summary.granted)).with("engines", static_cast<std::int64_t>(summary.engines_heard));
         }
         auto const responder = this->waiting.find(request);
         if (responder == this->waiting.end())
--- a/Libraries/LibRouter/PlacementClient.cpp
+++ b/Libraries/LibRouter/PlacementClient.cpp
@@ -16,7 +16,7 @@
 /// A keeper and the one that follows it; after them this VM decides for itself.
 constexpr std::size_t REMOTE_TRIES = 2;
 
-CallerVisit read_visit(bool is_return) { return is_return ? CallerVisit::Return : CallerVisit::First; }
+CallerAttempt read_visit(bool is_return) { return is_return ? CallerAttempt::Retry : CallerAttempt::First; }
 
 /// A caller that turns out to come back is decided about later.
 Duration longest_wait(PlacementClient::AskTimes const& times) { return std::max(times.decide_within, times.late_within); }
@@ -114,7 +114,7 @@
             grant.request = ask.request;
             grant.prefill_engine = reply.placement_grant().prefill_engine();
             grant.decode_engine = reply.placement_grant().decode_engine();
-            grant.visit = read_visit(reply.placement_grant().is_return());
+            grant.caller_attempt = read_visit(reply.placement_grant().is_return());
             this->held.insert_or_assign(ask.request, Held { ask, grant, endpoint, GrantProgress::Prefilling, monotonic_now() });
             co_return PlacementDecision { grant };
         }
@@ -122,10 +122,10 @@
         refusal.request = ask.request;
         refusal.reason = read_reason(reply.placement_refusal().reason());
         refusal.retry_after = milliseconds(reply.placement_refusal().retry_after_milliseconds());
-        refusal.visit = read_visit(reply.placement_refusal().is_return());
+        refusal.caller_attempt = read_visit(reply.placement_refusal().is_return());
         co_return PlacementDecision { refusal };
     }
-    co_return PlacementDecision { PlacementRefusal { ask.request, RefusalReason::NoUpstream, milliseconds(500), CallerVisit::First } };
+    co_return PlacementDecision { PlacementRefusal { ask.request, RefusalReason::NoUpstream, milliseconds(500), CallerAttempt::First } };
 }
 
 void PlacementClient::send(wire::Envelope envelope)
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -58,7 +58,7 @@
 
 void StreamFlow::describe_end(LogLine& line) const
 {
-    line.with("visit", this->visit == CallerVisit::Return ? "return" : "first").with("placements", this->placements);
+    line.with("visit", this->visit == CallerAttempt::Retry ? "return" : "first").with("placements", this->placements);
     if (this->first_event_after)
         line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.pause_target));
 }
@@ -102,7 +102,7 @@
 {
     // What was found out at the first placement holds on for the next.
     if (this->placements == 0)
-        this->visit = std::visit([](auto const& either) { return either.visit; }, decision);
+        this->visit = std::visit([](auto const& either) { return either.caller_attempt; }, decision);
 }
 
 PlacementClient::AskTimes StreamFlow::time_to_place() const
--- a/Libraries/LibRouter/StreamFlow.h
+++ b/Libraries/LibRouter/StreamFlow.h
@@ -75,7 +75,7 @@
     std::string failed_engine;
     std::vector<std::string> refusing_engines;
     EventBoundary events;
-    CallerVisit visit = CallerVisit::First;
+    CallerAttempt visit = CallerAttempt::First;
     std::optional<Duration> first_event_after;
     MonotonicTime first_event_at;
     MonotonicTime last_event_at;
--- a/Tests/LibDecision/TestRefusalHistory.cpp
+++ b/Tests/LibDecision/TestRefusalHistory.cpp
@@ -127,7 +127,7 @@
     scheduler.advance(at(400));
     auto const refused = decision_of(scheduler);
     REQUIRE(std::holds_alternative<PlacementRefusal>(refused));
-    CHECK(std::get<PlacementRefusal>(refused).visit == CallerVisit::First);
+    CHECK(std::get<PlacementRefusal>(refused).caller_attempt == CallerAttempt::First);
 
     SECTION("room comes before the first token is due")
     {
@@ -135,7 +135,7 @@
         scheduler.ask(ask_at(at(600), "second-try", "z"), at(600));
         auto const granted = decision_of(scheduler);
         REQUIRE(std::holds_alternative<PlacementGrant>(granted));
-        CHECK(std::get<PlacementGrant>(granted).visit == CallerVisit::Return);
+        CHECK(std::get<PlacementGrant>(granted).caller_attempt == CallerAttempt::Retry);
     }
     SECTION("it comes too late for that")
     {
@@ -154,6 +154,6 @@
         auto const second = decision_of(scheduler);
         REQUIRE(std::holds_alternative<PlacementGrant>(second));
         CHECK(std::get<PlacementGrant>(second).request == "second-try");
-        CHECK(std::get<PlacementGrant>(second).visit == CallerVisit::Return);
+        CHECK(std::get<PlacementGrant>(second).caller_attempt == CallerAttempt::Retry);
     }
 }
