--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -18,10 +18,10 @@
 constexpr double FASTEST = 0.5;
 constexpr double SLOWEST = 20;
 /// Of a prefill engine's pace, as the engines' protocol says.
-constexpr double OWN_PREFILL_PACE = 0.5;
+constexpr double DECODE_PREFILL_RELATIVE_RATE = 0.5;
 /// Before it was measured: pieces of a few hundred tokens, each followed by a step of the answers.
-constexpr double FIRST_STRETCH = 1.3;
-constexpr double LONGEST_STRETCH = 4;
+constexpr double INITIAL_DECODE_PREFILL_STRETCH = 1.3;
+constexpr double MAXIMUM_DECODE_PREFILL_STRETCH = 4;
 /// A prefill that took no measurable time says nothing about an engine's rate.
 constexpr int MOST_DOUBLINGS = 10;
 /// Longer than any report lags.
@@ -200,8 +200,8 @@
     auto const usual = to_seconds(this->prefill_rate_of(engine).compute_time(tokens));
     if (engine.description.role == EngineRole::Prefill)
         return from_seconds(usual * engine.slowness);
-    auto const stretch = this->own_prefill_stretch.find(engine.description.model);
-    return from_seconds(usual / OWN_PREFILL_PACE * (stretch == this->own_prefill_stretch.end() ? FIRST_STRETCH : stretch->second));
+    auto const stretch = this->decode_prefill_stretch.find(engine.description.model);
+    return from_seconds(usual / DECODE_PREFILL_RELATIVE_RATE * (stretch == this->decode_prefill_stretch.end() ? INITIAL_DECODE_PREFILL_STRETCH : stretch->second));
 }
 
 // Only a prompt that waited for none tells the latency of results.
@@ -214,10 +214,10 @@
     if (engine.description.role == EngineRole::Decode) {
         if (prefill.has_queued)
             return;
-        auto& stretch = this->own_prefill_stretch.try_emplace(engine.description.model, FIRST_STRETCH).first->second;
-        auto const reading = to_seconds(estimator.compute_time(prefill.tokens)) / OWN_PREFILL_PACE;
+        auto& stretch = this->decode_prefill_stretch.try_emplace(engine.description.model, INITIAL_DECODE_PREFILL_STRETCH).first->second;
+        auto const reading = to_seconds(estimator.compute_time(prefill.tokens)) / DECODE_PREFILL_RELATIVE_RATE;
         stretch += RATE_SMOOTHING * (to_seconds(taken - estimator.latency()) / reading - stretch);
-        stretch = std::clamp(stretch, 1.0, LONGEST_STRETCH);
+        stretch = std::clamp(stretch, 1.0, MAXIMUM_DECODE_PREFILL_STRETCH);
         return;
     }
     if (!prefill.has_queued)
@@ -432,7 +432,7 @@
         if (!granted.ask.own_part.empty())
             this->cached.insert_or_assign(granted.ask.own_part, CachedPrompt { granted.decode_engine, now });
         frees_an_engine = frees_an_engine || this->is_tried_out(granted.decode_engine) || granted.prefill_engine.empty();
-        this->end_own_prefill(granted, now);
+        this->end_decode_prefill(granted, now);
         this->note_success(granted.decode_engine);
         if (granted.predicted_first_token != MonotonicTime {})
             this->lateness.add(std::max(0.0, to_seconds(now - granted.predicted_first_token) * 1000));
@@ -446,7 +446,7 @@
 }
 
 // An answer has begun, so its engine has read the prompt.
-void CellScheduler::end_own_prefill(Granted const& granted, MonotonicTime now)
+void CellScheduler::end_decode_prefill(Granted const& granted, MonotonicTime now)
 {
     auto const engine = this->engines.find(granted.decode_engine);
     if (!granted.prefill_engine.empty() || engine == this->engines.end())
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -422,16 +422,16 @@
     void mark_last_resorts(MonotonicTime now);
     bool has_usable_prefill(PlacementAsk const& ask, MonotonicTime now) const;
     /// Why a decode engine would read a prompt itself.
-    enum class OwnPrefillNeed {
+    enum class DecodePrefillReason {
         NoPrefillEngine,
         Overflow,
     };
     std::optional<Placement> find_cached(PlacementAsk const& ask, MonotonicTime now) const;
-    std::optional<Placement> find_own_prefill(PlacementAsk const& ask, OwnPrefillNeed need, MonotonicTime now) const;
-    bool may_read_itself(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const;
+    std::optional<Placement> find_decode_prefill(PlacementAsk const& ask, DecodePrefillReason need, MonotonicTime now) const;
+    bool can_run_prefill(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const;
     bool is_overflow_due(PlacementAsk const& ask, MonotonicTime now) const;
-    std::optional<MonotonicTime> best_split(PlacementAsk const& ask, MonotonicTime now) const;
-    std::optional<MonotonicTime> best_own_prefill(PlacementAsk const& ask, MonotonicTime now) const;
+    std::optional<MonotonicTime> best_disaggregated(PlacementAsk const& ask, MonotonicTime now) const;
+    std::optional<MonotonicTime> best_decode_prefill(PlacementAsk const& ask, MonotonicTime now) const;
     bool is_on_time(Placement const& placement, PlacementAsk const& ask) const;
     void schedule_model(std::string const& model, MonotonicTime now);
     ScheduleStep schedule_one(std::size_t index, MonotonicTime now);
@@ -460,7 +460,7 @@
     /// When the engine begins with a prompt that is sent to it now.
     MonotonicTime busy_until(Engine const& engine, MonotonicTime now) const;
     PrefillRateEstimator const& prefill_rate_of(Engine const& engine) const;
-    void end_own_prefill(Granted const& granted, MonotonicTime now);
+    void end_decode_prefill(Granted const& granted, MonotonicTime now);
     void update_prefill_rate(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now);
     Duration compute_time(Engine const& engine, std::int64_t tokens) const;
     bool is_usable(Engine const& engine, MonotonicTime now) const;
@@ -495,7 +495,7 @@
     std::map<std::string, PrefillRateEstimator, std::less<>> prefill_rates;
     /// What a decode engine's reading takes against the pace that engines have for it; the steps of the answers that
     /// it makes meanwhile come on top. By model.
-    std::map<std::string, double, std::less<>> own_prefill_stretch;
+    std::map<std::string, double, std::less<>> decode_prefill_stretch;
     /// Time for one token by model, as measured lately; new engines begin with it.
     std::map<std::string, Duration, std::less<>> model_step_times;
     /// By how much first tokens came later than predicted, as a high quantile in milliseconds.
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -23,14 +23,14 @@
 constexpr std::int64_t RATE_SAMPLE = 1000;
 /// Tokens of a prompt that a decode engine reads at most between two tokens of the others. A quarter of a prefill
 /// engine's piece, which has 1,024 to 2,048 with engines of today.
-constexpr std::int64_t LONGEST_OWN_PIECE = 512;
+constexpr std::int64_t MAXIMUM_DECODE_PREFILL_CHUNK_TOKENS = 512;
 /// A cold engine that was idle is given the requests of so long at once, so that with those of the second after it gets a
 /// quarter more than it bears.
 constexpr double COLD_BURST_SECONDS = 0.25;
 /// Part of the longest pause that a reading may fill; the network takes some.
-constexpr double PAUSE_SHARE = 0.95;
+constexpr double MAXIMUM_PAUSE_SHARE = 0.95;
 /// Before its time to be decided ends, a request is looked at once more at least: two ticks of a keeper.
-constexpr Duration LAST_MOMENT = milliseconds(40);
+constexpr Duration OVERFLOW_BEFORE_DECISION = milliseconds(40);
 /// Of requests that do not wait any more; more are dropped together.
 constexpr std::size_t MOST_FORECASTS_KEPT = 64;
 
@@ -81,15 +81,15 @@
 
 // While a decode engine reads a prompt, the answers that it makes get no token but one between two pieces. What
 // that costs them is a pause; where it is longer than they may have, each of them is late for the sake of one.
-bool CellScheduler::may_read_itself(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const
+bool CellScheduler::can_run_prefill(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const
 {
     if (!engine.prefills.empty())
         return false;
     auto const tokens = ask.prompt_tokens + ask.relayed_tokens;
-    auto const in_one_event = std::min(tokens, engine.description.tokens_per_event * LONGEST_OWN_PIECE);
-    auto const pause = this->compute_time(engine, in_one_event) + engine.step_time * engine.description.tokens_per_event;
-    bool const spoils_others = ask.longest_pause > Duration::zero() && !engine.slots.empty() && to_seconds(pause) > PAUSE_SHARE * to_seconds(ask.longest_pause);
-    if (spoils_others)
+    auto const chunk_tokens = std::min(tokens, engine.description.tokens_per_event * MAXIMUM_DECODE_PREFILL_CHUNK_TOKENS);
+    auto const pause = this->compute_time(engine, chunk_tokens) + engine.step_time * engine.description.tokens_per_event;
+    bool const delays_other_answers = ask.longest_pause > Duration::zero() && !engine.slots.empty() && to_seconds(pause) > MAXIMUM_PAUSE_SHARE * to_seconds(ask.longest_pause);
+    if (delays_other_answers)
         return false;
     // The answers that it makes hold their memory longer by the time of the reading, as if it took more than one.
     auto const answer_time = this->answer_forecast(ask, 0).expected_tokens * to_seconds(engine.step_time);
@@ -110,7 +110,7 @@
     auto const& engine = found->second;
     Placement placement;
     placement.decode = found->first;
-    placement.tokens = std::max(ask.relayed_tokens, LONGEST_OWN_PIECE);
+    placement.tokens = std::max(ask.relayed_tokens, MAXIMUM_DECODE_PREFILL_CHUNK_TOKENS);
     placement.prefill_end = this->busy_until(engine, now) + this->compute_time(engine, placement.tokens) + this->prefill_rate_of(engine).latency();
     placement.first_token = placement.prefill_end + engine.step_time;
     placement.candidates = 1;
@@ -119,13 +119,13 @@
     return placement;
 }
 
-std::optional<CellScheduler::Placement> CellScheduler::find_own_prefill(PlacementAsk const& ask, OwnPrefillNeed need, MonotonicTime now) const
+std::optional<CellScheduler::Placement> CellScheduler::find_decode_prefill(PlacementAsk const& ask, DecodePrefillReason need, MonotonicTime now) const
 {
     std::vector<PlacementCandidate> candidates;
     for (auto const& [name, engine] : this->engines) {
         if (!this->may_take(engine, EngineRole::Decode, ask, now))
             continue;
-        if (need == OwnPrefillNeed::Overflow && !this->may_read_itself(engine, ask, now))
+        if (need == DecodePrefillReason::Overflow && !this->can_run_prefill(engine, ask, now))
             continue;
         auto const ready = this->busy_until(engine, now) + this->prefill_time(engine, ask);
         if (this->has_room(engine, ask, now, ready - this->options.safety_margin))
@@ -148,10 +148,10 @@
 {
     if (this->options.policy.decode_prefill != SchedulerPolicy::DecodePrefill::Overflow)
         return false;
-    if (ask.decide_by && *ask.decide_by - now <= LAST_MOMENT)
+    if (ask.decide_by && *ask.decide_by - now <= OVERFLOW_BEFORE_DECISION)
         return true;
-    auto const split = this->best_split(ask, now);
-    return !split || *split > ask.first_token_deadline;
+    auto const disaggregated = this->best_disaggregated(ask, now);
+    return !disaggregated || *disaggregated > ask.first_token_deadline;
 }
 
 bool CellScheduler::is_on_time(Placement const& placement, PlacementAsk const& ask) const
@@ -178,9 +178,9 @@
     auto placement = this->find_cached(this->waiting[index], now);
     if (!placement || !this->is_on_time(*placement, this->waiting[index]))
         placement = this->find_placement(this->waiting[index], now);
-    bool const is_split_on_time = placement && this->is_on_time(*placement, this->waiting[index]);
-    if (!is_split_on_time && this->is_overflow_due(this->waiting[index], now)) {
-        auto const own = this->find_own_prefill(this->waiting[index], OwnPrefillNeed::Overflow, now);
+    bool const is_disaggregated_on_time = placement && this->is_on_time(*placement, this->waiting[index]);
+    if (!is_disaggregated_on_time && this->is_overflow_due(this->waiting[index], now)) {
+        auto const own = this->find_decode_prefill(this->waiting[index], DecodePrefillReason::Overflow, now);
         if (own && this->is_on_time(*own, this->waiting[index]))
             placement = own;
     }
@@ -355,7 +355,7 @@
     return candidates;
 }
 
-std::optional<MonotonicTime> CellScheduler::best_split(PlacementAsk const& ask, MonotonicTime now) const
+std::optional<MonotonicTime> CellScheduler::best_disaggregated(PlacementAsk const& ask, MonotonicTime now) const
 {
     std::optional<MonotonicTime> best;
     for (auto const& [name, engine] : this->engines) {
@@ -367,7 +367,7 @@
     return best;
 }
 
-std::optional<MonotonicTime> CellScheduler::best_own_prefill(PlacementAsk const& ask, MonotonicTime now) const
+std::optional<MonotonicTime> CellScheduler::best_decode_prefill(PlacementAsk const& ask, MonotonicTime now) const
 {
     std::optional<MonotonicTime> best;
     for (auto const& [name, engine] : this->engines) {
@@ -381,11 +381,11 @@
 
 std::optional<MonotonicTime> CellScheduler::best_first_token(PlacementAsk const& ask, MonotonicTime now) const
 {
-    auto best = this->best_split(ask, now);
-    auto const& own = this->options.policy.decode_prefill;
-    bool const may_read_itself = own == SchedulerPolicy::DecodePrefill::Overflow || (own == SchedulerPolicy::DecodePrefill::WithoutPrefillEngines && !best);
-    if (may_read_itself && (!best || *best > ask.first_token_deadline)) {
-        auto const first = this->best_own_prefill(ask, now);
+    auto best = this->best_disaggregated(ask, now);
+    auto const& mode = this->options.policy.decode_prefill;
+    bool const is_decode_prefill_allowed = mode == SchedulerPolicy::DecodePrefill::Overflow || (mode == SchedulerPolicy::DecodePrefill::WithoutPrefillEngines && !best);
+    if (is_decode_prefill_allowed && (!best || *best > ask.first_token_deadline)) {
+        auto const first = this->best_decode_prefill(ask, now);
         if (first)
             best = best ? std::min(*best, *first) : *first;
     }
@@ -505,7 +505,7 @@
 {
     auto const candidates = this->prefill_candidates(ask, now);
     if (candidates.empty() && this->options.policy.decode_prefill != SchedulerPolicy::DecodePrefill::Off && !this->has_usable_prefill(ask, now))
-        return this->find_own_prefill(ask, OwnPrefillNeed::NoPrefillEngine, now);
+        return this->find_decode_prefill(ask, DecodePrefillReason::NoPrefillEngine, now);
     if (candidates.empty())
         return {};
     auto const& chosen = candidates[this->options.policy.choose_prefill(candidates)];
--- a/Libraries/LibDecision/RoleBalancer.cpp
+++ b/Libraries/LibDecision/RoleBalancer.cpp
@@ -70,8 +70,8 @@
     if (answered <= readers / reading)
         return answered;
     // Both roles are full: decode engines give what time the rest of the prompts takes.
-    auto const own_reading = this->options.own_prefill_cost * reading;
-    return (answerers + this->options.own_prefill_cost * readers) / (answering + own_reading);
+    auto const own_reading = this->options.decode_prefill_cost * reading;
+    return (answerers + this->options.decode_prefill_cost * readers) / (answering + own_reading);
 }
 
 std::size_t RoleBalancer::wanted_prefill(std::size_t engines, EngineCapacity const& capacity) const
--- a/Libraries/LibDecision/RoleBalancer.h
+++ b/Libraries/LibDecision/RoleBalancer.h
@@ -73,7 +73,7 @@
         /// Part of decode engines' memory that is filled at best: answers end at times that nobody knows.
         double decode_use = 0.8;
         /// A decode engine's own reading takes so many times a prefill engine's, and its answers wait meanwhile.
-        double own_prefill_cost = 2;
+        double decode_prefill_cost = 2;
         /// So much more has to be served by the other division.
         double least_gain = 0.08;
         /// Fewest engines of each role, in a pool that has several times as many: one may always fail.
