--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -23,7 +23,7 @@
 constexpr double INITIAL_DECODE_PREFILL_STRETCH = 1.3;
 constexpr double MAXIMUM_DECODE_PREFILL_STRETCH = 4;
 /// A prefill that took no measurable time says nothing about an engine's rate.
-constexpr int MOST_DOUBLINGS = 10;
+constexpr int MAXIMUM_BACKOFF_DOUBLINGS = 10;
 /// Longer than any report lags.
 constexpr Duration RELEASED_NAMES_KEPT = seconds(5);
 /// An answer and the time until its caller comes back for the rest; by then others' prompts took the memory.
@@ -274,16 +274,16 @@
     auto& engine = found->second;
     engine.last_report.reset();
     // Many requests notice the same failure; only one after the last time out counts as another.
-    if (now < engine.left_out_until)
+    if (now < engine.backoff_until)
         return;
-    auto const doublings = std::min(engine.failures_in_a_row++, MOST_DOUBLINGS);
-    engine.left_out_until = now + std::min(this->options.longest_leave_out, this->options.first_leave_out * (1 << doublings));
+    auto const doublings = std::min(engine.consecutive_failures++, MAXIMUM_BACKOFF_DOUBLINGS);
+    engine.backoff_until = now + std::min(this->options.maximum_backoff, this->options.initial_backoff * (1 << doublings));
 }
 
-bool CellScheduler::is_tried_out(std::string_view name) const
+bool CellScheduler::is_probed(std::string_view name) const
 {
     auto const found = this->engines.find(name);
-    return found != this->engines.end() && found->second.failures_in_a_row > 0;
+    return found != this->engines.end() && found->second.consecutive_failures > 0;
 }
 
 void CellScheduler::note_success(std::string_view name)
@@ -291,8 +291,8 @@
     auto const found = this->engines.find(name);
     if (found == this->engines.end())
         return;
-    found->second.failures_in_a_row = 0;
-    found->second.trial.clear();
+    found->second.consecutive_failures = 0;
+    found->second.probe_request.clear();
 }
 
 void CellScheduler::hold_slot(Engine& engine, std::string const& request)
@@ -431,7 +431,7 @@
         granted.decode_from = now;
         if (!granted.ask.own_part.empty())
             this->cached.insert_or_assign(granted.ask.own_part, CachedPrompt { granted.decode_engine, now });
-        frees_an_engine = frees_an_engine || this->is_tried_out(granted.decode_engine) || granted.prefill_engine.empty();
+        frees_an_engine = frees_an_engine || this->is_probed(granted.decode_engine) || granted.prefill_engine.empty();
         this->end_decode_prefill(granted, now);
         this->note_success(granted.decode_engine);
         if (granted.predicted_first_token != MonotonicTime {})
@@ -574,7 +574,7 @@
         state.is_rate_measured = this->prefill_rate_of(engine).is_known() && this->model_step_times.contains(engine.description.model);
         state.memory_tokens = static_cast<double>(engine.description.memory_tokens);
         state.decode_slots = engine.description.decode_slots;
-        state.is_failing = engine.failures_in_a_row > 0;
+        state.is_failing = engine.consecutive_failures > 0;
         states[engine.description.model].push_back(std::move(state));
     }
     return states;
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -226,8 +226,8 @@
         /// A grant that neither its origin nor an engine's report named for so long is over: its release was lost.
         Duration vanish_after = milliseconds(3000);
         /// Time that an engine is left out after a first failure, and the longest after many.
-        Duration first_leave_out = milliseconds(500);
-        Duration longest_leave_out = milliseconds(10'000);
+        Duration initial_backoff = milliseconds(500);
+        Duration maximum_backoff = milliseconds(10'000);
         /// How far ahead a prefill engine is filled. Short, so that late decisions stay cheap.
         Duration prefill_ahead = milliseconds(300);
         /// How long a finished prefill is kept by its engine.
@@ -356,10 +356,10 @@
         std::optional<MonotonicTime> last_report;
         EngineReport::Life reported_life = EngineReport::Life::Serving;
         EngineReport::Life hinted_life = EngineReport::Life::Serving;
-        int failures_in_a_row = 0;
-        MonotonicTime left_out_until;
+        int consecutive_failures = 0;
+        MonotonicTime backoff_until;
         /// The one request that tries out an engine which failed before.
-        std::string trial;
+        std::string probe_request;
         Duration step_time = milliseconds(25);
         /// What prefills take here against what engines of the model usually take.
         double slowness = 1;
@@ -454,7 +454,7 @@
     void adopt(Engine& engine, HeldWork const& held, MonotonicTime now);
     void drop_vanished(Engine const& engine, EngineReport const& report, MonotonicTime now);
     /// Whether one request tries the engine, after it failed.
-    bool is_tried_out(std::string_view engine) const;
+    bool is_probed(std::string_view engine) const;
     void note_success(std::string_view engine);
     void end_prefill(std::string_view engine, std::string_view request, MonotonicTime now);
     /// When the engine begins with a prompt that is sent to it now.
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -56,7 +56,7 @@
         return;
     struct Group {
         bool has_usable = false;
-        int least_failures = std::numeric_limits<int>::max();
+        int fewest_failures = std::numeric_limits<int>::max();
     };
     std::map<std::pair<std::string_view, EngineRole>, Group> groups;
     for (auto& [name, engine] : this->engines) {
@@ -64,11 +64,11 @@
         auto& group = groups[{ engine.description.model, engine.description.role }];
         group.has_usable = group.has_usable || this->is_usable(engine, now);
         if (engine.reported_life == EngineReport::Life::Serving && engine.hinted_life == EngineReport::Life::Serving)
-            group.least_failures = std::min(group.least_failures, engine.failures_in_a_row);
+            group.fewest_failures = std::min(group.fewest_failures, engine.consecutive_failures);
     }
     for (auto& [name, engine] : this->engines) {
         auto const& group = groups[{ engine.description.model, engine.description.role }];
-        engine.is_last_resort = !group.has_usable && engine.failures_in_a_row <= group.least_failures;
+        engine.is_last_resort = !group.has_usable && engine.consecutive_failures <= group.fewest_failures;
     }
 }
 
@@ -300,10 +300,10 @@
     bool const is_serving = engine.reported_life == EngineReport::Life::Serving && engine.hinted_life == EngineReport::Life::Serving;
     if (engine.is_last_resort)
         return is_serving;
-    if (now < engine.left_out_until)
+    if (now < engine.backoff_until)
         return false;
     // An engine that failed gets one request to try it, and no more until that succeeded.
-    if (engine.failures_in_a_row > 0 && this->granted.contains(engine.trial))
+    if (engine.consecutive_failures > 0 && this->granted.contains(engine.probe_request))
         return false;
     if (is_cold(engine, now) && engine.cold_share && engine.cold_share->time_until(1, now) > Duration::zero())
         return false;
@@ -602,8 +602,8 @@
     for (auto* engine : { prefill != this->engines.end() ? &prefill->second : nullptr, &decode }) {
         if (engine)
             take_cold_share(*engine, now);
-        if (engine && engine->failures_in_a_row > 0)
-            engine->trial = ask.request;
+        if (engine && engine->consecutive_failures > 0)
+            engine->probe_request = ask.request;
     }
     auto const account = this->accounts.find(ask.account);
     if (account != this->accounts.end())
