--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -31,7 +31,7 @@
 /// Fewer say too little of an engine's pace.
 constexpr std::int64_t FEWEST_MEASURED_TOKENS = 8;
 /// Whether waiting requests can still be on time is looked at no more often: it takes a look at each engine.
-constexpr Duration HOPELESS_CHECK = milliseconds(50);
+constexpr Duration FEASIBILITY_CHECK_INTERVAL = milliseconds(50);
 /// Prompts that a prefill engine is given ahead: one that it reads, and the next.
 constexpr std::int64_t PROMPTS_AT_ONCE = 2;
 constexpr Duration SHORTEST_MEASURED_PREFILL = milliseconds(5);
@@ -370,7 +370,7 @@
         account->second.served = std::max(account->second.served, least);
     this->ask_forecasts.erase(ask.request);
     this->detect_caller_retry(ask, now);
-    if (this->refuse_if_hopeless(ask, now))
+    if (this->refuse_if_infeasible(ask, now))
         return;
     this->waiting.push_back(std::move(ask));
     this->schedule(now);
@@ -533,9 +533,9 @@
     std::erase_if(this->cached, [&](auto const& entry) { return now - entry.second.since > CACHED_PROMPTS_KEPT; });
     this->refusal_history.remove_expired(now);
     std::erase_if(this->released, [&](auto const& entry) { return now - entry.second > RELEASED_NAMES_KEPT; });
-    if (now - this->hopeless_checked >= HOPELESS_CHECK) {
-        this->hopeless_checked = now;
-        this->refuse_hopeless(now);
+    if (now - this->last_feasibility_check >= FEASIBILITY_CHECK_INTERVAL) {
+        this->last_feasibility_check = now;
+        this->refuse_infeasible(now);
     }
     this->schedule(now);
 }
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -438,8 +438,8 @@
     Duration expected_lateness() const;
     bool goes_before(PlacementAsk const& a, PlacementAsk const& b) const;
     Duration wait_behind_others(PlacementAsk const& ask, MonotonicTime now) const;
-    bool refuse_if_hopeless(PlacementAsk const& ask, MonotonicTime now);
-    void refuse_hopeless(MonotonicTime now);
+    bool refuse_if_infeasible(PlacementAsk const& ask, MonotonicTime now);
+    void refuse_infeasible(MonotonicTime now);
     void refuse_overdue(std::string const& model, MonotonicTime now);
     std::optional<std::size_t> next_waiting(std::string_view model, std::set<std::string> const& passed_over) const;
     std::optional<Placement> find_placement(PlacementAsk const& ask, MonotonicTime now);
@@ -504,7 +504,7 @@
     RefusalHistory refusal_history;
     /// What waiting requests would hold, by request; filled as needed and emptied now and then.
     mutable std::map<std::string, MemoryForecast, std::less<>> ask_forecasts;
-    MonotonicTime hopeless_checked;
+    MonotonicTime last_feasibility_check;
     std::map<std::string, Granted, std::less<>> granted;
     /// Requests released lately: reports lag and still name them.
     std::map<std::string, MonotonicTime, std::less<>> released;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -202,7 +202,7 @@
     return std::min(LONGEST_LATENESS, from_seconds(this->lateness.estimate() / 1000));
 }
 
-bool CellScheduler::refuse_if_hopeless(PlacementAsk const& ask, MonotonicTime now)
+bool CellScheduler::refuse_if_infeasible(PlacementAsk const& ask, MonotonicTime now)
 {
     if (this->options.policy.early_refusal == SchedulerPolicy::EarlyRefusal::Off)
         return false;
@@ -240,11 +240,11 @@
     return rate > 0 ? from_seconds(tokens / (rate * static_cast<double>(RATE_SAMPLE))) : Duration::zero();
 }
 
-void CellScheduler::refuse_hopeless(MonotonicTime now)
+void CellScheduler::refuse_infeasible(MonotonicTime now)
 {
     // One by one: what is refused does not stand before others any more.
     for (std::size_t i = 0; i < this->waiting.size();) {
-        if (this->refuse_if_hopeless(this->waiting[i], now))
+        if (this->refuse_if_infeasible(this->waiting[i], now))
             this->waiting.erase(this->waiting.begin() + static_cast<std::ptrdiff_t>(i));
         else
             ++i;
