--- a/Benchmarks/BenchmarkCellScheduler.cpp
+++ b/Benchmarks/BenchmarkCellScheduler.cpp
@@ -109,7 +109,7 @@
     options.memory_headroom = 0.2;
     options.policy.backfill = SchedulerPolicy::Backfill::On;
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
-    options.vanish_after = seconds(60);
+    options.stale_grant_timeout = seconds(60);
     CellScheduler scheduler(options);
     std::vector<EngineDescription> engines;
     auto const count = static_cast<int>(state.range(0));
--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -25,9 +25,9 @@
 /// A prefill that took no measurable time says nothing about an engine's rate.
 constexpr int MAXIMUM_BACKOFF_DOUBLINGS = 10;
 /// Longer than any report lags.
-constexpr Duration RELEASED_NAMES_KEPT = seconds(5);
+constexpr Duration RELEASED_RETENTION = seconds(5);
 /// An answer and the time until its caller comes back for the rest; by then others' prompts took the memory.
-constexpr Duration CACHED_PROMPTS_KEPT = seconds(20);
+constexpr Duration CACHED_PROMPT_RETENTION = seconds(20);
 /// Fewer say too little of an engine's pace.
 constexpr std::int64_t FEWEST_MEASURED_TOKENS = 8;
 /// Whether waiting requests can still be on time is looked at no more often: it takes a look at each engine.
@@ -124,27 +124,27 @@
     for (auto const& held : report.held) {
         auto const known = this->granted.find(held.request);
         if (known != this->granted.end())
-            known->second.named_at = now;
+            known->second.last_seen = now;
         else if (!this->released.contains(held.request))
             this->adopt(engine, held, now);
     }
-    this->drop_vanished(engine, report, now);
+    this->remove_unreported(engine, report, now);
     this->schedule(now);
 }
 
 // What is known from reports alone ends when the reports do not name it any more.
-void CellScheduler::drop_vanished(Engine const& engine, EngineReport const& report, MonotonicTime now)
+void CellScheduler::remove_unreported(Engine const& engine, EngineReport const& report, MonotonicTime now)
 {
-    std::vector<std::string> vanished;
+    std::vector<std::string> unreported;
     for (auto const& request : engine.slots) {
         auto const found = this->granted.find(request);
         if (found == this->granted.end() || !found->second.adopted)
             continue;
-        auto const is_named = [&](HeldWork const& held) { return held.request == request; };
-        if (std::none_of(report.held.begin(), report.held.end(), is_named))
-            vanished.push_back(request);
+        auto const is_reported = [&](HeldWork const& held) { return held.request == request; };
+        if (std::none_of(report.held.begin(), report.held.end(), is_reported))
+            unreported.push_back(request);
     }
-    for (auto const& request : vanished)
+    for (auto const& request : unreported)
         this->remove_granted(request, now);
 }
 
@@ -258,9 +258,9 @@
     granted.decode_engine = engine.description.name;
     granted.phase = GrantProgress::Decoding;
     granted.adopted = true;
-    granted.taken_up = true;
+    granted.is_confirmed = true;
     granted.granted_at = now;
-    granted.named_at = now;
+    granted.last_seen = now;
     granted.decode_from = now;
     this->hold_slot(engine, held.request);
     this->granted.emplace(held.request, std::move(granted));
@@ -414,8 +414,8 @@
     if (found == this->granted.end())
         return;
     auto& granted = found->second;
-    granted.taken_up = true;
-    granted.named_at = now;
+    granted.is_confirmed = true;
+    granted.last_seen = now;
     bool frees_an_engine = false;
     auto const engine = this->engines.find(granted.prefill_engine);
     if (progress == GrantProgress::CacheHeld && granted.phase == GrantProgress::Prefilling && engine != this->engines.end()) {
@@ -463,8 +463,8 @@
     auto const known = this->granted.find(ask.request);
     bool const is_known = known != this->granted.end() && !known->second.adopted;
     if (is_known) {
-        known->second.named_at = now;
-        known->second.taken_up = true;
+        known->second.last_seen = now;
+        known->second.is_confirmed = true;
     }
     if (decode == this->engines.end() || is_known || this->released.contains(ask.request))
         return;
@@ -476,9 +476,9 @@
     granted.prefill_engine = prefill_engine;
     granted.decode_engine = decode_engine;
     granted.phase = progress;
-    granted.taken_up = true;
+    granted.is_confirmed = true;
     granted.granted_at = now;
-    granted.named_at = now;
+    granted.last_seen = now;
     granted.decode_from = now - age;
     this->hold_slot(decode->second, ask.request);
     auto const prefill = this->engines.find(granted.reader());
@@ -522,17 +522,17 @@
 
 void CellScheduler::advance(MonotonicTime now)
 {
-    std::vector<std::string> lapsed;
+    std::vector<std::string> expired;
     for (auto const& [request, granted] : this->granted) {
-        bool const is_not_taken_up = !granted.taken_up && now - granted.granted_at > this->options.grant_lease;
-        if (is_not_taken_up || now - granted.named_at > this->options.vanish_after)
-            lapsed.push_back(request);
+        bool const is_unconfirmed = !granted.is_confirmed && now - granted.granted_at > this->options.grant_lease;
+        if (is_unconfirmed || now - granted.last_seen > this->options.stale_grant_timeout)
+            expired.push_back(request);
     }
-    for (auto const& request : lapsed)
+    for (auto const& request : expired)
         this->remove_granted(request, now);
-    std::erase_if(this->cached, [&](auto const& entry) { return now - entry.second.since > CACHED_PROMPTS_KEPT; });
+    std::erase_if(this->cached, [&](auto const& entry) { return now - entry.second.since > CACHED_PROMPT_RETENTION; });
     this->refusal_history.remove_expired(now);
-    std::erase_if(this->released, [&](auto const& entry) { return now - entry.second > RELEASED_NAMES_KEPT; });
+    std::erase_if(this->released, [&](auto const& entry) { return now - entry.second > RELEASED_RETENTION; });
     if (now - this->last_feasibility_check >= FEASIBILITY_CHECK_INTERVAL) {
         this->last_feasibility_check = now;
         this->refuse_infeasible(now);
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -224,7 +224,7 @@
         /// A grant that its origin does not take up is withdrawn after this time.
         Duration grant_lease = milliseconds(1500);
         /// A grant that neither its origin nor an engine's report named for so long is over: its release was lost.
-        Duration vanish_after = milliseconds(3000);
+        Duration stale_grant_timeout = milliseconds(3000);
         /// Time that an engine is left out after a first failure, and the longest after many.
         Duration initial_backoff = milliseconds(500);
         Duration maximum_backoff = milliseconds(10'000);
@@ -290,7 +290,7 @@
     /// Origins that hold a grant.
     std::set<std::string> origins() const;
 
-    /// Lets time pass: lapsed grants, refusals that came due, queued work that fits now.
+    /// Lets time pass: expired grants, refusals that came due, queued work that fits now.
     void advance(MonotonicTime now);
 
     /// Decisions since the last call, in order.
@@ -385,10 +385,10 @@
         /// Known from an engine's report alone, from before this keeper's term.
         bool adopted = false;
         /// Whether the origin said that it uses the grant.
-        bool taken_up = false;
+        bool is_confirmed = false;
         MonotonicTime granted_at;
         /// When its origin or an engine's report last named it.
-        MonotonicTime named_at;
+        MonotonicTime last_seen;
         MonotonicTime predicted_first_token;
         MonotonicTime decode_from;
 
@@ -452,7 +452,7 @@
     void detect_caller_retry(PlacementAsk& ask, MonotonicTime now);
     void remove_granted(std::string request, MonotonicTime now);
     void adopt(Engine& engine, HeldWork const& held, MonotonicTime now);
-    void drop_vanished(Engine const& engine, EngineReport const& report, MonotonicTime now);
+    void remove_unreported(Engine const& engine, EngineReport const& report, MonotonicTime now);
     /// Whether one request tries the engine, after it failed.
     bool is_probed(std::string_view engine) const;
     void note_success(std::string_view engine);
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -591,7 +591,7 @@
     granted.prefill_engine = placement.prefill;
     granted.decode_engine = placement.decode;
     granted.granted_at = now;
-    granted.named_at = now;
+    granted.last_seen = now;
     granted.predicted_first_token = placement.first_token;
     auto& decode = this->engines.find(placement.decode)->second;
     auto& reader = prefill != this->engines.end() ? prefill->second : decode;
--- a/Tests/Exploration/World.cpp
+++ b/Tests/Exploration/World.cpp
@@ -110,7 +110,7 @@
     Keeper keeper;
     CellScheduler::Options options;
     if (this->faults.without_vanishing)
-        options.vanish_after = seconds(3600);
+        options.stale_grant_timeout = seconds(3600);
     keeper.scheduler = std::make_unique<CellScheduler>(options);
     OrphanReaper::Options reaper;
     reaper.dead_origin_grace = seconds(2);
--- a/Tests/LibDecision/TestDecodePrefill.cpp
+++ b/Tests/LibDecision/TestDecodePrefill.cpp
@@ -37,7 +37,7 @@
         made.first_step_time = milliseconds(5);
         made.token_target = milliseconds(250);
         made.memory_headroom = 0;
-        made.vanish_after = seconds(60);
+        made.stale_grant_timeout = seconds(60);
         made.grant_lease = seconds(60);
         made.policy.decode_prefill = decode_prefill;
         made.policy.backfill = SchedulerPolicy::Backfill::On;
--- a/Tests/LibDecision/TestMemoryForecast.cpp
+++ b/Tests/LibDecision/TestMemoryForecast.cpp
@@ -59,7 +59,7 @@
         made.first_step_time = milliseconds(1);
         made.token_target = milliseconds(250);
         made.memory_headroom = 0;
-        made.vanish_after = seconds(60);
+        made.stale_grant_timeout = seconds(60);
         made.grant_lease = seconds(60);
         return made;
     }
@@ -288,10 +288,10 @@
 
 /// Asks that are refused in four seconds after half of the VMs died together, where a grant that nobody names is over
 /// after the given time. Streams of 7,000 tokens come to engines that they fill.
-int refused_after_kill(Duration vanish_after)
+int refused_after_kill(Duration stale_grant_timeout)
 {
     auto options = MemoryCell::options();
-    options.vanish_after = vanish_after;
+    options.stale_grant_timeout = stale_grant_timeout;
     MemoryCell cell(10, 60'000, options);
     constexpr std::int64_t KILL = 8000;
     constexpr std::int64_t END = KILL + 4000;
