--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -38,7 +38,7 @@
 
 std::size_t earliest(std::span<PlacementCandidate const> candidates)
 {
-    auto const best = std::min_element(candidates.begin(), candidates.end(), [](auto const& a, auto const& b) { return a.ready + a.distance < b.ready + b.distance; });
+    auto const best = std::min_element(candidates.begin(), candidates.end(), [](auto const& a, auto const& b) { return a.ready + a.preference_penalty < b.ready + b.preference_penalty; });
     return static_cast<std::size_t>(best - candidates.begin());
 }
 
@@ -357,17 +357,17 @@
         return;
     }
     // An account that was idle starts level with the others and cannot save up its share.
-    double least = account->second.served;
-    bool others_wait = false;
+    double lowest_served = account->second.served;
+    bool have_others_waiting = false;
     for (auto const& other : this->waiting) {
         auto const served = this->accounts.find(other.account);
         if (served == this->accounts.end())
             continue;
-        least = others_wait ? std::min(least, served->second.served) : served->second.served;
-        others_wait = true;
+        lowest_served = have_others_waiting ? std::min(lowest_served, served->second.served) : served->second.served;
+        have_others_waiting = true;
     }
-    if (others_wait)
-        account->second.served = std::max(account->second.served, least);
+    if (have_others_waiting)
+        account->second.served = std::max(account->second.served, lowest_served);
     this->ask_forecasts.erase(ask.request);
     this->detect_caller_retry(ask, now);
     if (this->refuse_if_infeasible(ask, now))
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -172,7 +172,7 @@
     std::int64_t free_slots = 0;
     MonotonicTime ready;
     /// By how much it counts as later in the choice.
-    Duration distance {};
+    Duration preference_penalty {};
 };
 
 /// The choices of the scheduler that an experiment may replace.
@@ -250,11 +250,11 @@
         MemoryForecast::Options forecast {};
         /// Part of an engine's memory by which another may be fuller and is preferred, since it is in the data
         /// centre of the VM that asks: a cut between data centres then harms nothing that runs.
-        double home_preference = 0.15;
+        double local_memory_preference = 0.15;
         /// By how much later a prefill engine of the asking VM's data centre may be done and is preferred. Decode engines
         /// are chosen there too, so memory then stays in one data centre: half the time on the links and half the price. A
         /// third of the reading of a usual prompt, and little of what callers wait for a first token.
-        Duration home_prefill_lead = milliseconds(30);
+        Duration local_prefill_preference = milliseconds(30);
         /// An engine's time for one token before any was measured.
         Duration first_step_time = milliseconds(25);
         /// Longest time between tokens that a decode engine is filled up to.
@@ -436,15 +436,15 @@
     void schedule_model(std::string const& model, MonotonicTime now);
     ScheduleStep schedule_one(std::size_t index, MonotonicTime now);
     Duration expected_lateness() const;
-    bool goes_before(PlacementAsk const& a, PlacementAsk const& b) const;
-    Duration wait_behind_others(PlacementAsk const& ask, MonotonicTime now) const;
+    bool precedes(PlacementAsk const& a, PlacementAsk const& b) const;
+    Duration queueing_delay(PlacementAsk const& ask, MonotonicTime now) const;
     bool refuse_if_infeasible(PlacementAsk const& ask, MonotonicTime now);
     void refuse_infeasible(MonotonicTime now);
     void refuse_overdue(std::string const& model, MonotonicTime now);
-    std::optional<std::size_t> next_waiting(std::string_view model, std::set<std::string> const& passed_over) const;
+    std::optional<std::size_t> next_waiting(std::string_view model, std::set<std::string> const& skipped) const;
     std::optional<Placement> find_placement(PlacementAsk const& ask, MonotonicTime now);
     std::optional<Placement> find_decode(PlacementAsk const& ask, Placement placement, MonotonicTime now) const;
-    std::int64_t comparable_room(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
+    std::int64_t capacity_score(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
     std::vector<PlacementCandidate> prefill_candidates(PlacementAsk const& ask, MonotonicTime now) const;
     std::optional<MonotonicTime> best_first_token(PlacementAsk const& ask, MonotonicTime now) const;
     void grant(PlacementAsk ask, Placement const& placement, MonotonicTime now);
@@ -476,9 +476,9 @@
     AnswerForecast answer_forecast(PlacementAsk const& ask, double made_tokens) const;
     double usable_memory(Engine const& engine) const;
     bool may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const;
-    bool has_room(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
+    bool has_capacity(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
     std::int64_t free_slots(Engine const& engine, MonotonicTime now, MonotonicTime when) const;
-    std::optional<MonotonicTime> earliest_room(PlacementAsk const& ask, MonotonicTime now) const;
+    std::optional<MonotonicTime> earliest_capacity(PlacementAsk const& ask, MonotonicTime now) const;
     void learn_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now);
     MonotonicTime predicted_release(Granted const& granted) const;
     Duration prefill_time(Engine const& engine, PlacementAsk const& ask) const;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -17,7 +17,7 @@
 /// More than this is a fault somewhere and no matter of prediction.
 constexpr Duration LONGEST_LATENESS = milliseconds(400);
 /// Requests that a smaller one may go before, so that a turn's work stays bounded.
-constexpr std::size_t MOST_PASSED_OVER = 8;
+constexpr std::size_t MAXIMUM_SKIPPED_REQUESTS = 8;
 constexpr double OUTPUT_QUANTILE = 0.8;
 /// A prompt whose reading time stands for an engine's rate.
 constexpr std::int64_t RATE_SAMPLE = 1000;
@@ -114,7 +114,7 @@
     placement.prefill_end = this->busy_until(engine, now) + this->compute_time(engine, placement.tokens) + this->prefill_rate_of(engine).latency();
     placement.first_token = placement.prefill_end + engine.step_time;
     placement.candidates = 1;
-    if (!this->has_room(engine, ask, now, placement.prefill_end))
+    if (!this->has_capacity(engine, ask, now, placement.prefill_end))
         return {};
     return placement;
 }
@@ -128,8 +128,8 @@
         if (need == DecodePrefillReason::Overflow && !this->can_run_prefill(engine, ask, now))
             continue;
         auto const ready = this->busy_until(engine, now) + this->prefill_time(engine, ask);
-        if (this->has_room(engine, ask, now, ready - this->options.safety_margin))
-            candidates.push_back({ name, this->comparable_room(engine, ask, now, ready), ready });
+        if (this->has_capacity(engine, ask, now, ready - this->options.safety_margin))
+            candidates.push_back({ name, this->capacity_score(engine, ask, now, ready), ready });
     }
     if (candidates.empty())
         return {};
@@ -162,14 +162,14 @@
 void CellScheduler::schedule_model(std::string const& model, MonotonicTime now)
 {
     this->refuse_overdue(model, now);
-    std::set<std::string> passed_over;
-    while (auto const index = this->next_waiting(model, passed_over)) {
+    std::set<std::string> skipped;
+    while (auto const index = this->next_waiting(model, skipped)) {
         auto const request = this->waiting[*index].request;
         if (this->schedule_one(*index, now) != ScheduleStep::MustWait)
             continue;
-        if (this->options.policy.backfill == SchedulerPolicy::Backfill::Off || passed_over.size() >= MOST_PASSED_OVER)
+        if (this->options.policy.backfill == SchedulerPolicy::Backfill::Off || skipped.size() >= MAXIMUM_SKIPPED_REQUESTS)
             return;
-        passed_over.insert(request);
+        skipped.insert(request);
     }
 }
 
@@ -208,7 +208,7 @@
         return false;
     auto const best = this->best_first_token(ask, now);
     // Without any engine heard of, a keeper new in office still waits for reports until the deadline.
-    if (!best || *best + this->wait_behind_others(ask, now) <= ask.first_token_deadline)
+    if (!best || *best + this->queueing_delay(ask, now) <= ask.first_token_deadline)
         return false;
     this->refuse(ask, RefusalReason::CannotMeetFirstToken, this->expected_wait(ask.model, now), now);
     return true;
@@ -216,7 +216,7 @@
 
 // The time that the engines of the model take to read what goes before this request. Of equals those go first that
 // wait already.
-Duration CellScheduler::wait_behind_others(PlacementAsk const& ask, MonotonicTime now) const
+Duration CellScheduler::queueing_delay(PlacementAsk const& ask, MonotonicTime now) const
 {
     double tokens = 0;
     bool is_before = true;
@@ -225,7 +225,7 @@
             is_before = false;
             continue;
         }
-        bool const goes_first = this->goes_before(other, ask) || (is_before && !this->goes_before(ask, other));
+        bool const goes_first = this->precedes(other, ask) || (is_before && !this->precedes(ask, other));
         if (other.model == ask.model && goes_first)
             tokens += static_cast<double>(other.prompt_tokens + other.relayed_tokens);
     }
@@ -265,7 +265,7 @@
 }
 
 // Priority first, then who can be on time, then the account that had least for its weight, then the earliest deadline.
-bool CellScheduler::goes_before(PlacementAsk const& a, PlacementAsk const& b) const
+bool CellScheduler::precedes(PlacementAsk const& a, PlacementAsk const& b) const
 {
     auto const served = [&](PlacementAsk const& ask) {
         auto const found = this->accounts.find(ask.account);
@@ -280,13 +280,13 @@
     return a.first_token_deadline < b.first_token_deadline;
 }
 
-std::optional<std::size_t> CellScheduler::next_waiting(std::string_view model, std::set<std::string> const& passed_over) const
+std::optional<std::size_t> CellScheduler::next_waiting(std::string_view model, std::set<std::string> const& skipped) const
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < this->waiting.size(); ++i) {
-        if (this->waiting[i].model != model || passed_over.contains(this->waiting[i].request))
+        if (this->waiting[i].model != model || skipped.contains(this->waiting[i].request))
             continue;
-        if (!best || this->goes_before(this->waiting[i], this->waiting[*best]))
+        if (!best || this->precedes(this->waiting[i], this->waiting[*best]))
             best = i;
     }
     return best;
@@ -349,8 +349,8 @@
         auto const start = this->busy_until(engine, now);
         if (start - now > this->options.prefill_ahead)
             continue;
-        bool const is_home = !ask.data_centre.empty() && engine.description.data_centre == ask.data_centre;
-        candidates.push_back({ name, 0, start + this->prefill_time(engine, ask), is_home ? Duration::zero() : this->options.home_prefill_lead });
+        bool const is_local = !ask.data_centre.empty() && engine.description.data_centre == ask.data_centre;
+        candidates.push_back({ name, 0, start + this->prefill_time(engine, ask), is_local ? Duration::zero() : this->options.local_prefill_preference });
     }
     return candidates;
 }
@@ -389,20 +389,20 @@
         if (first)
             best = best ? std::min(*best, *first) : *first;
     }
-    auto const room = this->earliest_room(ask, now);
+    auto const room = this->earliest_capacity(ask, now);
     if (best && room)
         best = std::max(*best, *room);
     return best;
 }
 
 // When a decode engine will have room for the request, as far as predictions go. Empty where none tells.
-std::optional<MonotonicTime> CellScheduler::earliest_room(PlacementAsk const& ask, MonotonicTime now) const
+std::optional<MonotonicTime> CellScheduler::earliest_capacity(PlacementAsk const& ask, MonotonicTime now) const
 {
     std::optional<MonotonicTime> earliest;
     for (auto const& [name, engine] : this->engines) {
         if (!this->may_take(engine, EngineRole::Decode, ask, now))
             continue;
-        if (this->has_room(engine, ask, now, now))
+        if (this->has_capacity(engine, ask, now, now))
             return now;
         if (engine.description.memory_tokens == 0)
             continue;
@@ -492,7 +492,7 @@
     return free > 0 ? free : free + this->releases_before(engine, now, when);
 }
 
-bool CellScheduler::has_room(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const
+bool CellScheduler::has_capacity(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const
 {
     if (this->free_slots(engine, now, when) <= 0)
         return false;
@@ -518,13 +518,13 @@
 }
 
 // Engines whose memory counts are compared by that, and those of the asking VM's data centre are preferred.
-std::int64_t CellScheduler::comparable_room(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const
+std::int64_t CellScheduler::capacity_score(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const
 {
     auto const memory = static_cast<double>(engine.description.memory_tokens);
     if (memory == 0)
         return this->free_slots(engine, now, when);
-    bool const is_home = !ask.data_centre.empty() && engine.description.data_centre == ask.data_centre;
-    return static_cast<std::int64_t>(this->usable_memory(engine) - this->forecast_of(engine, now).peak() + (is_home ? this->options.home_preference * memory : 0));
+    bool const is_local = !ask.data_centre.empty() && engine.description.data_centre == ask.data_centre;
+    return static_cast<std::int64_t>(this->usable_memory(engine) - this->forecast_of(engine, now).peak() + (is_local ? this->options.local_memory_preference * memory : 0));
 }
 
 std::optional<CellScheduler::Placement> CellScheduler::find_decode(PlacementAsk const& ask, Placement placement, MonotonicTime now) const
@@ -535,8 +535,8 @@
             continue;
         auto const ready = placement.prefill_end + this->transfer_time(engine, ask);
         auto const promised = ready - this->options.safety_margin;
-        auto const free = this->comparable_room(engine, ask, now, promised);
-        if (this->has_room(engine, ask, now, promised) || this->options.policy.slot_promise == SchedulerPolicy::SlotPromise::Ignored)
+        auto const free = this->capacity_score(engine, ask, now, promised);
+        if (this->has_capacity(engine, ask, now, promised) || this->options.policy.slot_promise == SchedulerPolicy::SlotPromise::Ignored)
             candidates.push_back({ name, free, ready });
     }
     if (candidates.empty())
