--- a/Benchmarks/BenchmarkCellScheduler.cpp
+++ b/Benchmarks/BenchmarkCellScheduler.cpp
@@ -105,7 +105,7 @@
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    options.first_step_time = milliseconds(1);
+    options.initial_step_time = milliseconds(1);
     options.memory_headroom = 0.2;
     options.policy.backfill = SchedulerPolicy::Backfill::On;
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -15,8 +15,8 @@
 constexpr double LATENESS_QUANTILE = 0.95;
 constexpr double RATE_SMOOTHING = 0.2;
 /// Bounds of an engine's slowness: one sample that a lost packet or a paused VM spoiled is not believed.
-constexpr double FASTEST = 0.5;
-constexpr double SLOWEST = 20;
+constexpr double MINIMUM_SLOWNESS = 0.5;
+constexpr double MAXIMUM_SLOWNESS = 20;
 /// Of a prefill engine's pace, as the engines' protocol says.
 constexpr double DECODE_PREFILL_RELATIVE_RATE = 0.5;
 /// Before it was measured: pieces of a few hundred tokens, each followed by a step of the answers.
@@ -29,12 +29,12 @@
 /// An answer and the time until its caller comes back for the rest; by then others' prompts took the memory.
 constexpr Duration CACHED_PROMPT_RETENTION = seconds(20);
 /// Fewer say too little of an engine's pace.
-constexpr std::int64_t FEWEST_MEASURED_TOKENS = 8;
+constexpr std::int64_t MINIMUM_STEP_TIME_TOKENS = 8;
 /// Whether waiting requests can still be on time is looked at no more often: it takes a look at each engine.
 constexpr Duration FEASIBILITY_CHECK_INTERVAL = milliseconds(50);
 /// Prompts that a prefill engine is given ahead: one that it reads, and the next.
-constexpr std::int64_t PROMPTS_AT_ONCE = 2;
-constexpr Duration SHORTEST_MEASURED_PREFILL = milliseconds(5);
+constexpr std::int64_t PREFILL_ENGINE_SLOTS = 2;
+constexpr Duration MINIMUM_MEASURED_PREFILL = milliseconds(5);
 
 std::size_t earliest(std::span<PlacementCandidate const> candidates)
 {
@@ -87,7 +87,7 @@
         else {
             this->prefill_rates.try_emplace(description.model, description.prefill_rate);
             auto const measured = this->model_step_times.find(description.model);
-            engine.step_time = measured != this->model_step_times.end() ? measured->second : this->options.first_step_time;
+            engine.step_time = measured != this->model_step_times.end() ? measured->second : this->options.initial_step_time;
         }
         engine.description = description;
         kept.emplace(description.name, std::move(engine));
@@ -208,7 +208,7 @@
 void CellScheduler::update_prefill_rate(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now)
 {
     auto const taken = std::chrono::duration_cast<Duration>(now - prefill.started);
-    if (taken < SHORTEST_MEASURED_PREFILL)
+    if (taken < MINIMUM_MEASURED_PREFILL)
         return;
     auto& estimator = this->prefill_rates.find(engine.description.model)->second;
     if (engine.description.role == EngineRole::Decode) {
@@ -226,7 +226,7 @@
         return;
     auto const usual = to_seconds(estimator.compute_time(prefill.tokens) + estimator.latency());
     engine.slowness += RATE_SMOOTHING * (to_seconds(taken) / usual - engine.slowness);
-    engine.slowness = std::clamp(engine.slowness, FASTEST, SLOWEST);
+    engine.slowness = std::clamp(engine.slowness, MINIMUM_SLOWNESS, MAXIMUM_SLOWNESS);
 }
 
 // The engine began with the next one in its queue while the result of this one was on its way.
@@ -315,7 +315,7 @@
 void CellScheduler::learn_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now)
 {
     auto const engine = this->engines.find(granted.decode_engine);
-    if (this->options.report_need == Options::ReportNeed::Required || granted.phase != GrantProgress::Decoding || output_tokens < FEWEST_MEASURED_TOKENS || engine == this->engines.end())
+    if (this->options.report_need == Options::ReportNeed::Required || granted.phase != GrantProgress::Decoding || output_tokens < MINIMUM_STEP_TIME_TOKENS || engine == this->engines.end())
         return;
     auto const sample = (now - granted.decode_from) / output_tokens;
     auto& step = engine->second.step_time;
@@ -334,17 +334,17 @@
 {
     auto const account = this->accounts.find(ask.account);
     if (account == this->accounts.end()) {
-        this->refuse(ask, RefusalReason::UnknownAccount, LONGEST_RETRY_AFTER, now);
+        this->refuse(ask, RefusalReason::UnknownAccount, MAXIMUM_RETRY_AFTER, now);
         return;
     }
     auto const same_request = [&](auto const& other) { return other.request == ask.request; };
     if (this->granted.contains(ask.request) || std::any_of(this->waiting.begin(), this->waiting.end(), same_request)) {
-        this->refuse(ask, RefusalReason::Duplicate, SHORTEST_RETRY_AFTER, now);
+        this->refuse(ask, RefusalReason::Duplicate, MINIMUM_RETRY_AFTER, now);
         return;
     }
     auto const serves = [&](auto const& entry) { return entry.second.description.model == ask.model; };
     if (std::none_of(this->engines.begin(), this->engines.end(), serves)) {
-        this->refuse(ask, RefusalReason::UnknownModel, LONGEST_RETRY_AFTER, now);
+        this->refuse(ask, RefusalReason::UnknownModel, MAXIMUM_RETRY_AFTER, now);
         return;
     }
     if (this->waiting.size() >= this->options.queue_limit) {
@@ -380,7 +380,7 @@
 {
     if (this->options.return_spread > Duration::zero())
         retry_after += Duration(static_cast<std::int64_t>(XXH3_64bits(ask.request.data(), ask.request.size()) % static_cast<std::uint64_t>(this->options.return_spread.count())));
-    retry_after = std::clamp(retry_after, SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER);
+    retry_after = std::clamp(retry_after, MINIMUM_RETRY_AFTER, MAXIMUM_RETRY_AFTER);
     if (ask.late_deadline && ask.relayed_tokens == 0 && now + retry_after < *ask.late_deadline)
         this->refusal_history.note_refused(traits_of(ask), ask.first_token_deadline, *ask.late_deadline);
     this->decisions.emplace_back(PlacementRefusal { ask.request, reason, retry_after, ask.caller_attempt });
@@ -416,10 +416,10 @@
     auto& granted = found->second;
     granted.is_confirmed = true;
     granted.last_seen = now;
-    bool frees_an_engine = false;
+    bool has_freed_capacity = false;
     auto const engine = this->engines.find(granted.prefill_engine);
     if (progress == GrantProgress::CacheHeld && granted.phase == GrantProgress::Prefilling && engine != this->engines.end()) {
-        frees_an_engine = true;
+        has_freed_capacity = true;
         this->note_success(granted.prefill_engine);
         auto const& prefills = engine->second.prefills;
         bool const is_first = !prefills.empty() && prefills.front().request == request;
@@ -431,7 +431,7 @@
         granted.decode_from = now;
         if (!granted.ask.own_part.empty())
             this->cached.insert_or_assign(granted.ask.own_part, CachedPrompt { granted.decode_engine, now });
-        frees_an_engine = frees_an_engine || this->is_probed(granted.decode_engine) || granted.prefill_engine.empty();
+        has_freed_capacity = has_freed_capacity || this->is_probed(granted.decode_engine) || granted.prefill_engine.empty();
         this->end_decode_prefill(granted, now);
         this->note_success(granted.decode_engine);
         if (granted.predicted_first_token != MonotonicTime {})
@@ -441,7 +441,7 @@
     auto const decode = this->engines.find(granted.decode_engine);
     if (decode != this->engines.end())
         decode->second.forecast.reset();
-    if (frees_an_engine)
+    if (has_freed_capacity)
         this->schedule(now);
 }
 
@@ -570,7 +570,7 @@
         state.data_centre = engine.description.data_centre;
         state.work = static_cast<std::int64_t>(engine.prefills.size() + engine.slots.size());
         state.prefill_rate = this->prefill_rate_of(engine).rate();
-        state.step_time = this->usual_step(engine.description.model);
+        state.step_time = this->mean_step_time(engine.description.model);
         state.is_rate_measured = this->prefill_rate_of(engine).is_known() && this->model_step_times.contains(engine.description.model);
         state.memory_tokens = static_cast<double>(engine.description.memory_tokens);
         state.decode_slots = engine.description.decode_slots;
@@ -580,24 +580,24 @@
     return states;
 }
 
-std::set<std::string> CellScheduler::crowded_models(double share) const
+std::set<std::string> CellScheduler::saturated_models(double share) const
 {
     std::set<std::string> models;
     for (auto const& ask : this->waiting)
         models.insert(ask.model);
-    struct Places {
+    struct SlotCount {
         std::int64_t taken = 0;
         std::int64_t all = 0;
     };
-    std::map<std::pair<std::string_view, EngineRole>, Places> places;
+    std::map<std::pair<std::string_view, EngineRole>, SlotCount> slots_by_role;
     for (auto const& [name, engine] : this->engines) {
         bool const reads = engine.description.role == EngineRole::Prefill;
-        auto& of_role = places[{ engine.description.model, engine.description.role }];
-        of_role.taken += static_cast<std::int64_t>(reads ? engine.prefills.size() : engine.slots.size());
-        of_role.all += reads ? PROMPTS_AT_ONCE : engine.description.decode_slots;
+        auto& role_slots = slots_by_role[{ engine.description.model, engine.description.role }];
+        role_slots.taken += static_cast<std::int64_t>(reads ? engine.prefills.size() : engine.slots.size());
+        role_slots.all += reads ? PREFILL_ENGINE_SLOTS : engine.description.decode_slots;
     }
-    for (auto const& [model_and_role, counted] : places) {
-        if (static_cast<double>(counted.taken) > share * static_cast<double>(counted.all))
+    for (auto const& [model_and_role, slot_count] : slots_by_role) {
+        if (static_cast<double>(slot_count.taken) > share * static_cast<double>(slot_count.all))
             models.emplace(model_and_role.first);
     }
     return models;
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -256,7 +256,7 @@
         /// third of the reading of a usual prompt, and little of what callers wait for a first token.
         Duration local_prefill_preference = milliseconds(30);
         /// An engine's time for one token before any was measured.
-        Duration first_step_time = milliseconds(25);
+        Duration initial_step_time = milliseconds(25);
         /// Longest time between tokens that a decode engine is filled up to.
         Duration token_target = milliseconds(37);
         SchedulerPolicy policy {};
@@ -327,7 +327,7 @@
 
     /// Models for which a request waits, or of whose engines more than this part is taken: of those that make answers the
     /// places, of those that read prompts what they are given ahead.
-    std::set<std::string> crowded_models(double share) const;
+    std::set<std::string> saturated_models(double share) const;
 
     struct Summary {
         std::size_t waiting = 0;
@@ -340,8 +340,8 @@
 
 private:
     /// Bounds of the time after which a refused caller is told to come back.
-    static constexpr Duration SHORTEST_RETRY_AFTER = milliseconds(100);
-    static constexpr Duration LONGEST_RETRY_AFTER = seconds(30);
+    static constexpr Duration MINIMUM_RETRY_AFTER = milliseconds(100);
+    static constexpr Duration MAXIMUM_RETRY_AFTER = seconds(30);
 
     struct QueuedPrefill {
         std::string request;
@@ -367,7 +367,7 @@
         /// it reads itself.
         std::vector<QueuedPrefill> prefills;
         /// What it may be given while it is cold.
-        mutable std::optional<TokenBucket> cold_share;
+        mutable std::optional<TokenBucket> cold_start_bucket;
         /// Left out like all others of its role, and used all the same since it failed least.
         bool is_last_resort = false;
         /// Requests that hold or were promised a slot here.
@@ -465,14 +465,14 @@
     Duration compute_time(Engine const& engine, std::int64_t tokens) const;
     bool is_usable(Engine const& engine, MonotonicTime now) const;
     static bool is_cold(Engine const& engine, MonotonicTime now) { return engine.description.cold_rate > 0 && now < engine.description.cold_until; }
-    static void take_cold_share(Engine& engine, MonotonicTime now);
+    static void take_cold_start_token(Engine& engine, MonotonicTime now);
     std::int64_t usable_slots(Engine const& engine) const;
     std::int64_t releases_before(Engine const& engine, MonotonicTime now, MonotonicTime when) const;
     void hold_slot(Engine& engine, std::string const& request);
     void free_slot(std::string_view engine, std::string_view request);
     MemoryForecast const& forecast_of(Engine const& engine, MonotonicTime now) const;
     MemoryForecast const& forecast_of(PlacementAsk const& ask) const;
-    Duration usual_step(std::string_view model) const;
+    Duration mean_step_time(std::string_view model) const;
     AnswerForecast answer_forecast(PlacementAsk const& ask, double made_tokens) const;
     double usable_memory(Engine const& engine) const;
     bool may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -13,33 +13,33 @@
 
 namespace {
 
-constexpr double FIRST_OUTPUT_ESTIMATE = 64;
+constexpr double INITIAL_OUTPUT_ESTIMATE_TOKENS = 64;
 /// More than this is a fault somewhere and no matter of prediction.
-constexpr Duration LONGEST_LATENESS = milliseconds(400);
+constexpr Duration MAXIMUM_EXPECTED_LATENESS = milliseconds(400);
 /// Requests that a smaller one may go before, so that a turn's work stays bounded.
 constexpr std::size_t MAXIMUM_SKIPPED_REQUESTS = 8;
 constexpr double OUTPUT_QUANTILE = 0.8;
 /// A prompt whose reading time stands for an engine's rate.
-constexpr std::int64_t RATE_SAMPLE = 1000;
+constexpr std::int64_t RATE_REFERENCE_TOKENS = 1000;
 /// Tokens of a prompt that a decode engine reads at most between two tokens of the others. A quarter of a prefill
 /// engine's piece, which has 1,024 to 2,048 with engines of today.
 constexpr std::int64_t MAXIMUM_DECODE_PREFILL_CHUNK_TOKENS = 512;
 /// A cold engine that was idle is given the requests of so long at once, so that with those of the second after it gets a
 /// quarter more than it bears.
-constexpr double COLD_BURST_SECONDS = 0.25;
+constexpr double COLD_START_BURST_SECONDS = 0.25;
 /// Part of the longest pause that a reading may fill; the network takes some.
 constexpr double MAXIMUM_PAUSE_SHARE = 0.95;
 /// Before its time to be decided ends, a request is looked at once more at least: two ticks of a keeper.
 constexpr Duration OVERFLOW_BEFORE_DECISION = milliseconds(40);
 /// Of requests that do not wait any more; more are dropped together.
-constexpr std::size_t MOST_FORECASTS_KEPT = 64;
+constexpr std::size_t MAXIMUM_UNUSED_FORECASTS = 64;
 
 }
 
 void CellScheduler::schedule(MonotonicTime now)
 {
     this->mark_last_resorts(now);
-    if (this->ask_forecasts.size() > MOST_FORECASTS_KEPT + 2 * this->waiting.size())
+    if (this->ask_forecasts.size() > MAXIMUM_UNUSED_FORECASTS + 2 * this->waiting.size())
         this->ask_forecasts.clear();
     std::set<std::string> models;
     for (auto const& ask : this->waiting)
@@ -199,7 +199,7 @@
 
 Duration CellScheduler::expected_lateness() const
 {
-    return std::min(LONGEST_LATENESS, from_seconds(this->lateness.estimate() / 1000));
+    return std::min(MAXIMUM_EXPECTED_LATENESS, from_seconds(this->lateness.estimate() / 1000));
 }
 
 bool CellScheduler::refuse_if_infeasible(PlacementAsk const& ask, MonotonicTime now)
@@ -235,9 +235,9 @@
     for (auto const& [name, engine] : this->engines) {
         bool const reads = engine.description.role == EngineRole::Prefill || this->options.policy.decode_prefill == SchedulerPolicy::DecodePrefill::Overflow;
         if (reads && this->may_take(engine, engine.description.role, ask, now))
-            rate += 1 / std::max(1e-9, to_seconds(this->compute_time(engine, RATE_SAMPLE)));
+            rate += 1 / std::max(1e-9, to_seconds(this->compute_time(engine, RATE_REFERENCE_TOKENS)));
     }
-    return rate > 0 ? from_seconds(tokens / (rate * static_cast<double>(RATE_SAMPLE))) : Duration::zero();
+    return rate > 0 ? from_seconds(tokens / (rate * static_cast<double>(RATE_REFERENCE_TOKENS))) : Duration::zero();
 }
 
 void CellScheduler::refuse_infeasible(MonotonicTime now)
@@ -305,20 +305,20 @@
     // An engine that failed gets one request to try it, and no more until that succeeded.
     if (engine.consecutive_failures > 0 && this->granted.contains(engine.probe_request))
         return false;
-    if (is_cold(engine, now) && engine.cold_share && engine.cold_share->time_until(1, now) > Duration::zero())
+    if (is_cold(engine, now) && engine.cold_start_bucket && engine.cold_start_bucket->time_until(1, now) > Duration::zero())
         return false;
     return is_serving;
 }
 
 // Work that comes faster than a cold engine bears ends its process, and with it all that it was given.
-void CellScheduler::take_cold_share(Engine& engine, MonotonicTime now)
+void CellScheduler::take_cold_start_token(Engine& engine, MonotonicTime now)
 {
     if (!is_cold(engine, now))
         return;
     auto const rate = engine.description.cold_rate;
-    if (!engine.cold_share)
-        engine.cold_share.emplace(rate, std::max(1.0, rate * COLD_BURST_SECONDS), now);
-    engine.cold_share->try_take(1, now);
+    if (!engine.cold_start_bucket)
+        engine.cold_start_bucket.emplace(rate, std::max(1.0, rate * COLD_START_BURST_SECONDS), now);
+    engine.cold_start_bucket->try_take(1, now);
 }
 
 // An engine whose steps are slower than the target between tokens is not filled further.
@@ -429,7 +429,7 @@
 AnswerForecast CellScheduler::answer_forecast(PlacementAsk const& ask, double made_tokens) const
 {
     auto const estimate = this->output_estimates.find(ask.model);
-    auto const learned = estimate == this->output_estimates.end() ? FIRST_OUTPUT_ESTIMATE : estimate->second.estimate();
+    auto const learned = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
     AnswerForecast answer;
     answer.prompt_tokens = static_cast<double>(ask.prompt_tokens + ask.relayed_tokens);
     answer.made_tokens = made_tokens;
@@ -438,7 +438,7 @@
     return answer;
 }
 
-Duration CellScheduler::usual_step(std::string_view model) const
+Duration CellScheduler::mean_step_time(std::string_view model) const
 {
     Duration sum {};
     std::int64_t count = 0;
@@ -448,7 +448,7 @@
         sum += engine.step_time;
         ++count;
     }
-    return count > 0 ? sum / count : this->options.first_step_time;
+    return count > 0 ? sum / count : this->options.initial_step_time;
 }
 
 // Each look at a waiting request compares it with all engines, so it is worked out once, for a usual one.
@@ -458,7 +458,7 @@
     if (found != this->ask_forecasts.end())
         return found->second;
     MemoryForecast forecast(this->options.forecast);
-    forecast.add(this->answer_forecast(ask, 0), this->usual_step(ask.model));
+    forecast.add(this->answer_forecast(ask, 0), this->mean_step_time(ask.model));
     return this->ask_forecasts.emplace(ask.request, forecast).first->second;
 }
 
@@ -566,7 +566,7 @@
 MonotonicTime CellScheduler::predicted_release(Granted const& granted) const
 {
     auto const estimate = this->output_estimates.find(granted.ask.model);
-    double tokens = estimate == this->output_estimates.end() ? FIRST_OUTPUT_ESTIMATE : estimate->second.estimate();
+    double tokens = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
     if (granted.ask.expected_output_tokens > 0)
         tokens = static_cast<double>(granted.ask.expected_output_tokens);
     if (granted.ask.maximum_output_tokens > 0)
@@ -580,7 +580,7 @@
 {
     constexpr double PREFILL_TOKENS_PER_OUTPUT_TOKEN = 40;
     auto const estimate = this->output_estimates.find(ask.model);
-    double const output = estimate == this->output_estimates.end() ? FIRST_OUTPUT_ESTIMATE : estimate->second.estimate();
+    double const output = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
     return static_cast<double>(ask.prompt_tokens) + PREFILL_TOKENS_PER_OUTPUT_TOKEN * output;
 }
 
@@ -601,7 +601,7 @@
     this->hold_slot(decode, ask.request);
     for (auto* engine : { prefill != this->engines.end() ? &prefill->second : nullptr, &decode }) {
         if (engine)
-            take_cold_share(*engine, now);
+            take_cold_start_token(*engine, now);
         if (engine && engine->consecutive_failures > 0)
             engine->probe_request = ask.request;
     }
@@ -637,7 +637,7 @@
 
 QuantileEstimator& CellScheduler::output_estimate(std::string const& model)
 {
-    return this->output_estimates.try_emplace(model, OUTPUT_QUANTILE, FIRST_OUTPUT_ESTIMATE).first->second;
+    return this->output_estimates.try_emplace(model, OUTPUT_QUANTILE, INITIAL_OUTPUT_ESTIMATE_TOKENS).first->second;
 }
 
 }
--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/EngineKeeper.cpp
@@ -187,7 +187,7 @@
     // Where all engines are used already there is nothing to look for.
     if (!this->offered_routes || !this->subset.has_more())
         return;
-    auto needy = this->scheduler.crowded_models(CROWDED_SHARE);
+    auto needy = this->scheduler.saturated_models(CROWDED_SHARE);
     std::erase_if(needy, [&](auto const& model) { return !this->subset.has_more(model); });
     if (needy.empty())
         return;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -55,7 +55,7 @@
     options.stale_grant_timeout = PlacementClient::Options {}.renewal * RENEWALS_MISSED + RENEWAL_MARGIN;
     options.cache_hold = milliseconds(500);
     // In the order of what engines of today take; measured from the first answers on.
-    options.first_step_time = milliseconds(1);
+    options.initial_step_time = milliseconds(1);
     // Events of several tokens come at once, so pauses of a whole answer are what counts.
     options.token_target = milliseconds(250);
     return options;
--- a/Tests/LibDecision/TestDecodePrefill.cpp
+++ b/Tests/LibDecision/TestDecodePrefill.cpp
@@ -34,7 +34,7 @@
     {
         CellScheduler::Options made;
         made.report_need = CellScheduler::Options::ReportNeed::None;
-        made.first_step_time = milliseconds(5);
+        made.initial_step_time = milliseconds(5);
         made.token_target = milliseconds(250);
         made.memory_headroom = 0;
         made.stale_grant_timeout = seconds(60);
--- a/Tests/LibDecision/TestRefusalHistory.cpp
+++ b/Tests/LibDecision/TestRefusalHistory.cpp
@@ -20,7 +20,7 @@
     options.report_need = CellScheduler::Options::ReportNeed::None;
     options.memory_headroom = 0;
     // An answer of 2,000 tokens takes two seconds.
-    options.first_step_time = milliseconds(1);
+    options.initial_step_time = milliseconds(1);
     CellScheduler scheduler(options);
     EngineDescription reader;
     reader.name = "reader";
