--- a/Libraries/LibDecision/RoleBalancer.cpp
+++ b/Libraries/LibDecision/RoleBalancer.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 /// A pool with fewer engines for each that has to stay spares none.
-constexpr std::size_t POOL_FOR_SPARES = 5;
-constexpr Duration REFUSED_PAUSE = seconds(3);
+constexpr std::size_t MINIMUM_POOL_WITH_SPARES = 5;
+constexpr Duration REFUSED_ORDER_BACKOFF = seconds(3);
 
 }
 
@@ -22,81 +22,81 @@
 
 void RoleBalancer::note_request(std::int64_t prompt_tokens, std::int64_t output_tokens, MonotonicTime now)
 {
-    auto const kept = this->last_request ? std::exp(-to_seconds(now - this->faded_at) / to_seconds(this->options.fading)) : 0.0;
-    this->weight = this->weight * kept + 1;
+    auto const decay = this->last_request ? std::exp(-to_seconds(now - this->decayed_at) / to_seconds(this->options.decay_time)) : 0.0;
+    this->weight = this->weight * decay + 1;
     auto const prompt = static_cast<double>(prompt_tokens);
     auto const output = static_cast<double>(output_tokens);
-    this->prompt_sum = this->prompt_sum * kept + prompt;
-    this->output_sum = this->output_sum * kept + output;
-    this->prompt_output_sum = this->prompt_output_sum * kept + prompt * output;
-    this->output_squared_sum = this->output_squared_sum * kept + output * output;
-    this->faded_at = now;
+    this->prompt_sum = this->prompt_sum * decay + prompt;
+    this->output_sum = this->output_sum * decay + output;
+    this->prompt_output_sum = this->prompt_output_sum * decay + prompt * output;
+    this->output_squared_sum = this->output_squared_sum * decay + output * output;
+    this->decayed_at = now;
     this->last_request = now;
 }
 
 double RoleBalancer::prefill_load(EngineCapacity const& capacity) const
 {
-    return this->prompt_sum / this->weight / std::max(1.0, capacity.prefill_rate) / this->options.prefill_use;
+    return this->prompt_sum / this->weight / std::max(1.0, capacity.prefill_rate) / this->options.maximum_prefill_utilization;
 }
 
 double RoleBalancer::decode_load(EngineCapacity const& capacity) const
 {
     auto const step = to_seconds(capacity.step_time);
     auto const slot_seconds = this->output_sum / this->weight * step;
-    auto const of_slots = slot_seconds / static_cast<double>(std::max<std::int64_t>(1, capacity.decode_slots));
+    auto const slot_load = slot_seconds / static_cast<double>(std::max<std::int64_t>(1, capacity.decode_slots));
     // The prompt is held from the first token to the last, and half of the answer on average.
     auto const token_seconds = (this->prompt_output_sum + this->output_squared_sum / 2) / this->weight * step;
-    auto const of_memory = capacity.memory_tokens > 0 ? token_seconds / (this->options.decode_use * capacity.memory_tokens) : 0.0;
-    return std::max(of_memory, of_slots);
+    auto const memory_load = capacity.memory_tokens > 0 ? token_seconds / (this->options.maximum_decode_utilization * capacity.memory_tokens) : 0.0;
+    return std::max(memory_load, slot_load);
 }
 
-bool RoleBalancer::knows_enough(EngineCapacity const& capacity) const
+bool RoleBalancer::has_enough_data(EngineCapacity const& capacity) const
 {
-    return capacity.source == EngineCapacity::Source::Measured && this->weight >= this->options.fewest_requests;
+    return capacity.source == EngineCapacity::Source::Measured && this->weight >= this->options.minimum_requests;
 }
 
-std::size_t RoleBalancer::fewest_of(std::size_t engines) const
+std::size_t RoleBalancer::minimum_per_role(std::size_t engines) const
 {
-    return engines >= POOL_FOR_SPARES ? this->options.fewest : 1;
+    return engines >= MINIMUM_POOL_WITH_SPARES ? this->options.minimum_engines : 1;
 }
 
 double RoleBalancer::throughput(std::size_t prefill, std::size_t engines, EngineCapacity const& capacity) const
 {
-    auto const reading = std::max(1e-9, this->prefill_load(capacity));
-    auto const answering = std::max(1e-9, this->decode_load(capacity));
-    auto const readers = static_cast<double>(prefill);
-    auto const answerers = static_cast<double>(engines - prefill);
-    auto const answered = answerers / answering;
-    if (answered <= readers / reading)
-        return answered;
+    auto const prefill_cost = std::max(1e-9, this->prefill_load(capacity));
+    auto const decode_cost = std::max(1e-9, this->decode_load(capacity));
+    auto const prefill_engines = static_cast<double>(prefill);
+    auto const decode_engines = static_cast<double>(engines - prefill);
+    auto const decode_throughput = decode_engines / decode_cost;
+    if (decode_throughput <= prefill_engines / prefill_cost)
+        return decode_throughput;
     // Both roles are full: decode engines give what time the rest of the prompts takes.
-    auto const own_reading = this->options.decode_prefill_cost * reading;
-    return (answerers + this->options.decode_prefill_cost * readers) / (answering + own_reading);
+    auto const decode_prefill_time = this->options.decode_prefill_cost * prefill_cost;
+    return (decode_engines + this->options.decode_prefill_cost * prefill_engines) / (decode_cost + decode_prefill_time);
 }
 
 std::size_t RoleBalancer::wanted_prefill(std::size_t engines, EngineCapacity const& capacity) const
 {
-    auto const fewest = this->fewest_of(engines);
-    if (!this->knows_enough(capacity)) {
-        auto const share = static_cast<std::size_t>(std::lround(this->options.start_share * static_cast<double>(engines)));
-        return std::clamp(share, fewest, std::max(fewest, engines - std::min(engines, fewest)));
+    auto const minimum_engines = this->minimum_per_role(engines);
+    if (!this->has_enough_data(capacity)) {
+        auto const share = static_cast<std::size_t>(std::lround(this->options.initial_prefill_share * static_cast<double>(engines)));
+        return std::clamp(share, minimum_engines, std::max(minimum_engines, engines - std::min(engines, minimum_engines)));
     }
-    auto best = fewest;
-    for (auto prefill = fewest; prefill + fewest <= engines; ++prefill) {
+    auto best = minimum_engines;
+    for (auto prefill = minimum_engines; prefill + minimum_engines <= engines; ++prefill) {
         if (this->throughput(prefill, engines, capacity) > this->throughput(best, engines, capacity))
             best = prefill;
     }
     return best;
 }
 
-void RoleBalancer::forget_done(std::span<RoleCandidate const> engines, MonotonicTime now)
+void RoleBalancer::expire_transitions(std::span<RoleCandidate const> engines, MonotonicTime now)
 {
-    std::erase_if(this->changing, [&](auto const& entry) {
+    std::erase_if(this->transitions, [&](auto const& entry) {
         auto const found = std::find_if(engines.begin(), engines.end(), [&](auto const& engine) { return engine.name == entry.first; });
         bool const is_done = found == engines.end() || found->role == entry.second.role;
-        return is_done || now - entry.second.since >= this->options.change_patience;
+        return is_done || now - entry.second.since >= this->options.change_timeout;
     });
-    std::erase_if(this->left_alone_until, [&](auto const& entry) { return now >= entry.second; });
+    std::erase_if(this->backoff_until, [&](auto const& entry) { return now >= entry.second; });
 }
 
 bool RoleBalancer::is_pool_settled(std::span<RoleCandidate const> engines, MonotonicTime now)
@@ -108,13 +108,13 @@
         this->pool = std::move(names);
         this->pool_since = now;
     }
-    return now - this->pool_since >= this->options.pool_settled_after;
+    return now - this->pool_since >= this->options.pool_settling_time;
 }
 
 EngineRole RoleBalancer::role_of(RoleCandidate const& engine) const
 {
-    auto const begun = this->changing.find(engine.name);
-    return begun == this->changing.end() ? engine.role : begun->second.role;
+    auto const transition = this->transitions.find(engine.name);
+    return transition == this->transitions.end() ? engine.role : transition->second.role;
 }
 
 RoleBalancer::Division RoleBalancer::division_of(std::span<RoleCandidate const> engines) const
@@ -126,20 +126,20 @@
 }
 
 // The role that should have an engine more; empty where the division is good enough.
-std::optional<EngineRole> RoleBalancer::lacking_role(Division division, EngineCapacity const& capacity, MonotonicTime now) const
+std::optional<EngineRole> RoleBalancer::role_lacking_engines(Division division, EngineCapacity const& capacity, MonotonicTime now) const
 {
     auto const total = division.prefill + division.decode;
     auto const wanted = this->wanted_prefill(total, capacity);
     if (wanted == division.prefill)
         return {};
-    if (!division.misses_a_role()) {
-        bool const is_known = this->knows_enough(capacity);
+    if (!division.lacks_a_role()) {
+        bool const is_known = this->has_enough_data(capacity);
         // What works is left alone until it is known to be worse.
-        bool const is_start = !this->has_known && this->is_idle(now);
+        bool const is_start = !this->had_enough_data && this->is_idle(now);
         if (!is_known && !is_start)
             return {};
-        bool const gains = !is_known || this->throughput(wanted, total, capacity) >= (1 + this->options.least_gain) * this->throughput(division.prefill, total, capacity);
-        if (!gains)
+        bool const is_worthwhile = !is_known || this->throughput(wanted, total, capacity) >= (1 + this->options.minimum_gain) * this->throughput(division.prefill, total, capacity);
+        if (!is_worthwhile)
             return {};
     }
     return wanted < division.prefill ? EngineRole::Decode : EngineRole::Prefill;
@@ -150,35 +150,35 @@
     return !this->last_request || now - *this->last_request >= this->options.idle_after;
 }
 
-bool RoleBalancer::may_change_now(EngineRole to, Division division, MonotonicTime now) const
+bool RoleBalancer::can_change_now(EngineRole to, Division division, MonotonicTime now) const
 {
     auto const since_last = this->last_change ? now - this->last_change->since : MonotonicTime::duration::max();
-    bool const turns_back = this->last_change && this->last_change->role != to && since_last < this->options.before_turning_back;
-    if (turns_back && !division.misses_a_role())
+    bool const is_reversal = this->last_change && this->last_change->role != to && since_last < this->options.reversal_interval;
+    if (is_reversal && !division.lacks_a_role())
         return false;
     if (this->is_idle(now))
         return true;
     // Without decode engines nothing is answered; without prefill engines decode engines read for themselves.
     bool const is_urgent = division.decode == 0;
-    bool const is_lasting = is_urgent || now - this->lacking->since >= this->options.persistence;
-    return is_lasting && this->changing.empty() && since_last >= this->options.between_changes;
+    bool const is_persistent = is_urgent || now - this->shortage->since >= this->options.minimum_shortage_duration;
+    return is_persistent && this->transitions.empty() && since_last >= this->options.change_interval;
 }
 
 // The data centre that has most of the role gives one, so that each keeps some of both; there the idlest goes.
-RoleCandidate const* RoleBalancer::engine_to_change(std::span<RoleCandidate const> engines, EngineRole from) const
+RoleCandidate const* RoleBalancer::select_engine(std::span<RoleCandidate const> engines, EngineRole from) const
 {
-    std::map<std::string_view, int> in_centre;
+    std::map<std::string_view, int> count_by_data_centre;
     for (auto const& engine : engines)
-        in_centre[engine.data_centre] += this->role_of(engine) == from ? 1 : 0;
-    auto const goes_before = [&](RoleCandidate const& a, RoleCandidate const& b) {
-        if (in_centre[a.data_centre] != in_centre[b.data_centre])
-            return in_centre[a.data_centre] > in_centre[b.data_centre];
+        count_by_data_centre[engine.data_centre] += this->role_of(engine) == from ? 1 : 0;
+    auto const is_preferred = [&](RoleCandidate const& a, RoleCandidate const& b) {
+        if (count_by_data_centre[a.data_centre] != count_by_data_centre[b.data_centre])
+            return count_by_data_centre[a.data_centre] > count_by_data_centre[b.data_centre];
         return a.work < b.work;
     };
     RoleCandidate const* best = nullptr;
     for (auto const& engine : engines) {
-        bool const may_change = engine.role == from && !engine.is_failing && !this->changing.contains(engine.name) && !this->left_alone_until.contains(engine.name);
-        if (may_change && (!best || goes_before(engine, *best)))
+        bool const may_change = engine.role == from && !engine.is_failing && !this->transitions.contains(engine.name) && !this->backoff_until.contains(engine.name);
+        if (may_change && (!best || is_preferred(engine, *best)))
             best = &engine;
     }
     return best;
@@ -186,22 +186,22 @@
 
 std::optional<RoleChange> RoleBalancer::next_change(std::span<RoleCandidate const> engines, EngineCapacity const& capacity, MonotonicTime now)
 {
-    this->forget_done(engines, now);
+    this->expire_transitions(engines, now);
     if (!this->is_pool_settled(engines, now) || engines.size() < 2)
         return {};
     auto const division = this->division_of(engines);
-    this->has_known = this->has_known || this->knows_enough(capacity);
-    auto const to = this->lacking_role(division, capacity, now);
+    this->had_enough_data = this->had_enough_data || this->has_enough_data(capacity);
+    auto const to = this->role_lacking_engines(division, capacity, now);
     if (!to) {
-        this->lacking.reset();
+        this->shortage.reset();
         return {};
     }
-    if (!this->lacking || this->lacking->role != *to)
-        this->lacking = Begun { *to, now };
-    if (!this->may_change_now(*to, division, now))
+    if (!this->shortage || this->shortage->role != *to)
+        this->shortage = RoleTransition { *to, now };
+    if (!this->can_change_now(*to, division, now))
         return {};
     auto const from = *to == EngineRole::Prefill ? EngineRole::Decode : EngineRole::Prefill;
-    auto const* engine = this->engine_to_change(engines, from);
+    auto const* engine = this->select_engine(engines, from);
     if (!engine)
         return {};
     return RoleChange { engine->name, *to };
@@ -209,13 +209,13 @@
 
 void RoleBalancer::note_ordered(RoleChange const& change, MonotonicTime now)
 {
-    this->changing.insert_or_assign(change.engine, Begun { change.role, now });
-    this->last_change = Begun { change.role, now };
+    this->transitions.insert_or_assign(change.engine, RoleTransition { change.role, now });
+    this->last_change = RoleTransition { change.role, now };
 }
 
 void RoleBalancer::note_refused(std::string const& engine, MonotonicTime now)
 {
-    this->left_alone_until.insert_or_assign(engine, now + REFUSED_PAUSE);
+    this->backoff_until.insert_or_assign(engine, now + REFUSED_ORDER_BACKOFF);
 }
 
 }
--- a/Libraries/LibDecision/RoleBalancer.h
+++ b/Libraries/LibDecision/RoleBalancer.h
@@ -63,31 +63,31 @@
         /// Part of the engines that read prompts while nothing is known. Since decode engines read half as fast, a pool
         /// of nine serves at least 0.68 of what the best division serves, and one of 90 at least 0.60, worked out with
         /// throughput() over all ratios of reading to answering.
-        double start_share = 0.2;
+        double initial_prefill_share = 0.2;
         /// Requests of late that tell what requests are like.
-        double fewest_requests = 30;
+        double minimum_requests = 30;
         /// Requests fade with this time.
-        Duration fading = seconds(30);
+        Duration decay_time = seconds(30);
         /// Prefill engines are not to be used beyond this: prompts that queue make their callers wait.
-        double prefill_use = 0.8;
+        double maximum_prefill_utilization = 0.8;
         /// Part of decode engines' memory that is filled at best: answers end at times that nobody knows.
-        double decode_use = 0.8;
+        double maximum_decode_utilization = 0.8;
         /// A decode engine's own reading takes so many times a prefill engine's, and its answers wait meanwhile.
         double decode_prefill_cost = 2;
         /// So much more has to be served by the other division.
-        double least_gain = 0.08;
+        double minimum_gain = 0.08;
         /// Fewest engines of each role, in a pool that has several times as many: one may always fail.
-        std::size_t fewest = 2;
+        std::size_t minimum_engines = 2;
         /// While requests come, a change has to be wanted for so long (an engine that crashed may be back soon),
         /// changes are that far apart, and longer before one is turned back.
-        Duration persistence = seconds(5);
-        Duration between_changes = seconds(2);
-        Duration before_turning_back = seconds(20);
+        Duration minimum_shortage_duration = seconds(5);
+        Duration change_interval = seconds(2);
+        Duration reversal_interval = seconds(20);
         /// A change that did not show by then is given up; orders that are carried out late come sooner.
-        Duration change_patience = seconds(25);
+        Duration change_timeout = seconds(25);
         /// Engines that come up enter the list one by one, within a heartbeat of theirs. Until the pool was the same
         /// for so long it may be a part of what there will be.
-        Duration pool_settled_after = milliseconds(1400);
+        Duration pool_settling_time = milliseconds(1400);
         /// Without requests for so long, any number of engines may change at once.
         Duration idle_after = seconds(2);
     };
@@ -101,13 +101,13 @@
     void note_ordered(RoleChange const& change, MonotonicTime now);
     /// The order was refused; the engine is left alone for some time.
     void note_refused(std::string const& engine, MonotonicTime now);
-    bool is_changing(std::string_view engine) const { return this->changing.contains(engine); }
+    bool is_changing(std::string_view engine) const { return this->transitions.contains(engine); }
 
     /// How many of so many engines should read prompts.
     std::size_t wanted_prefill(std::size_t engines, EngineCapacity const& capacity) const;
 
 private:
-    struct Begun {
+    struct RoleTransition {
         EngineRole role;
         MonotonicTime since;
     };
@@ -117,21 +117,21 @@
         std::size_t prefill = 0;
         std::size_t decode = 0;
 
-        bool misses_a_role() const { return this->prefill == 0 || this->decode == 0; }
+        bool lacks_a_role() const { return this->prefill == 0 || this->decode == 0; }
     };
 
     bool is_pool_settled(std::span<RoleCandidate const> engines, MonotonicTime now);
     EngineRole role_of(RoleCandidate const& engine) const;
     Division division_of(std::span<RoleCandidate const> engines) const;
-    std::optional<EngineRole> lacking_role(Division division, EngineCapacity const& capacity, MonotonicTime now) const;
+    std::optional<EngineRole> role_lacking_engines(Division division, EngineCapacity const& capacity, MonotonicTime now) const;
     bool is_idle(MonotonicTime now) const;
-    bool may_change_now(EngineRole to, Division division, MonotonicTime now) const;
-    RoleCandidate const* engine_to_change(std::span<RoleCandidate const> engines, EngineRole from) const;
-    void forget_done(std::span<RoleCandidate const> engines, MonotonicTime now);
+    bool can_change_now(EngineRole to, Division division, MonotonicTime now) const;
+    RoleCandidate const* select_engine(std::span<RoleCandidate const> engines, EngineRole from) const;
+    void expire_transitions(std::span<RoleCandidate const> engines, MonotonicTime now);
     /// Requests a second that so many prefill engines of all serve.
     double throughput(std::size_t prefill, std::size_t engines, EngineCapacity const& capacity) const;
-    bool knows_enough(EngineCapacity const& capacity) const;
-    std::size_t fewest_of(std::size_t engines) const;
+    bool has_enough_data(EngineCapacity const& capacity) const;
+    std::size_t minimum_per_role(std::size_t engines) const;
     /// Seconds of a prefill engine, and of a decode engine, that a request takes.
     double prefill_load(EngineCapacity const& capacity) const;
     double decode_load(EngineCapacity const& capacity) const;
@@ -143,17 +143,17 @@
     /// Of prompt times output, and of the output's square: what an answer holds grows while it is made.
     double prompt_output_sum = 0;
     double output_squared_sum = 0;
-    MonotonicTime faded_at;
+    MonotonicTime decayed_at;
     std::optional<MonotonicTime> last_request;
     /// Whether enough was known once: the division that came of it is not given up for the safe one.
-    bool has_known = false;
-    std::map<std::string, Begun, std::less<>> changing;
-    std::map<std::string, MonotonicTime, std::less<>> left_alone_until;
-    std::optional<Begun> last_change;
+    bool had_enough_data = false;
+    std::map<std::string, RoleTransition, std::less<>> transitions;
+    std::map<std::string, MonotonicTime, std::less<>> backoff_until;
+    std::optional<RoleTransition> last_change;
     std::set<std::string, std::less<>> pool;
     MonotonicTime pool_since;
     /// The role that has lacked engines, and since when.
-    std::optional<Begun> lacking;
+    std::optional<RoleTransition> shortage;
 };
 
 }
