--- a/Libraries/LibDecision/EngineSubset.cpp
+++ b/Libraries/LibDecision/EngineSubset.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// More engines than there are.
-constexpr std::size_t MOST_DOUBLINGS = 16;
+constexpr std::size_t MAXIMUM_DOUBLINGS = 16;
 
 struct Ranked {
     std::uint64_t rank = 0;
@@ -23,24 +23,24 @@
 void EngineSubset::grow(std::string_view model)
 {
     auto& count = this->doublings.try_emplace(std::string(model), 0).first->second;
-    count = std::min(count + 1, MOST_DOUBLINGS);
+    count = std::min(count + 1, MAXIMUM_DOUBLINGS);
 }
 
 std::vector<std::size_t> EngineSubset::choose(std::span<SubsetCandidate const> candidates)
 {
     std::map<std::pair<std::string_view, std::string_view>, std::vector<Ranked>> groups;
     std::vector<std::size_t> chosen;
-    std::set<std::string, std::less<>> still_kept;
+    std::set<std::string, std::less<>> still_pinned;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         auto const& candidate = candidates[i];
         groups[{ candidate.model, candidate.data_centre }].push_back({ XXH3_64bits(candidate.identity.data(), candidate.identity.size()), i });
-        if (this->keeps(candidate.identity)) {
-            still_kept.emplace(candidate.identity);
+        if (this->is_pinned(candidate.identity)) {
+            still_pinned.emplace(candidate.identity);
             chosen.push_back(i);
         }
     }
-    this->kept = std::move(still_kept);
-    this->incomplete.clear();
+    this->pinned = std::move(still_pinned);
+    this->partial_models.clear();
     for (auto& [key, group] : groups) {
         auto const found = this->doublings.find(key.first);
         auto const wanted = this->options.engines_per_data_centre << (found == this->doublings.end() ? 0 : found->second);
@@ -49,12 +49,12 @@
         for (auto const& ranked : group) {
             auto const& candidate = candidates[ranked.index];
             if (serving >= wanted) {
-                if (!this->keeps(candidate.identity))
-                    this->incomplete.emplace(candidate.model);
+                if (!this->is_pinned(candidate.identity))
+                    this->partial_models.emplace(candidate.model);
                 continue;
             }
             serving += candidate.life == SubsetCandidate::Life::Serving ? 1 : 0;
-            if (!this->keeps(candidate.identity))
+            if (!this->is_pinned(candidate.identity))
                 chosen.push_back(ranked.index);
         }
     }
--- a/Libraries/LibDecision/EngineSubset.h
+++ b/Libraries/LibDecision/EngineSubset.h
@@ -45,20 +45,20 @@
     /// Indexes of those that belong to it, rising. One that leaves does not take another's place.
     std::vector<std::size_t> choose(std::span<SubsetCandidate const> candidates);
     /// Whether the last choice left some of the model out.
-    bool has_more(std::string_view model) const { return this->incomplete.contains(model); }
+    bool is_partial(std::string_view model) const { return this->partial_models.contains(model); }
     /// The same of any model.
-    bool has_more() const { return !this->incomplete.empty(); }
+    bool is_partial() const { return !this->partial_models.empty(); }
     /// Makes the next choice twice as large for the model.
     void grow(std::string_view model);
     /// Has the engine in each choice from now on: it was given work by another keeper.
-    void keep(std::string_view identity) { this->kept.emplace(identity); }
-    bool keeps(std::string_view identity) const { return this->kept.contains(identity); }
+    void pin(std::string_view identity) { this->pinned.emplace(identity); }
+    bool is_pinned(std::string_view identity) const { return this->pinned.contains(identity); }
 
 private:
     Options options;
     std::map<std::string, std::size_t, std::less<>> doublings;
-    std::set<std::string, std::less<>> incomplete;
-    std::set<std::string, std::less<>> kept;
+    std::set<std::string, std::less<>> partial_models;
+    std::set<std::string, std::less<>> pinned;
 };
 
 }
--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/EngineKeeper.cpp
@@ -185,10 +185,10 @@
 void EngineKeeper::grow_subset(MonotonicTime now)
 {
     // Where all engines are used already there is nothing to look for.
-    if (!this->offered_routes || !this->subset.has_more())
+    if (!this->offered_routes || !this->subset.is_partial())
         return;
     auto needy = this->scheduler.saturated_models(CROWDED_SHARE);
-    std::erase_if(needy, [&](auto const& model) { return !this->subset.has_more(model); });
+    std::erase_if(needy, [&](auto const& model) { return !this->subset.is_partial(model); });
     if (needy.empty())
         return;
     for (auto const& model : needy)
@@ -275,7 +275,7 @@
         bool const is_left_out = !this->engine_names.contains(engine) && this->offered_upstreams && this->offered_upstreams->find(engine);
         if (!is_left_out)
             continue;
-        this->subset.keep(engine);
+        this->subset.pin(engine);
         has_new = true;
     }
     if (has_new)
--- a/Tests/LibDecision/TestEngineSubset.cpp
+++ b/Tests/LibDecision/TestEngineSubset.cpp
@@ -49,7 +49,7 @@
     CHECK(chosen.size() == 160);
     for (auto const& place : fleet.places)
         CHECK(count_in(fleet, chosen, place) == 32);
-    CHECK(subset.has_more("model"));
+    CHECK(subset.is_partial("model"));
 }
 
 TEST_CASE("A deployment of hundreds of upstreams works with all of its engines", "[fleet]")
@@ -57,7 +57,7 @@
     Fleet const fleet(90, 3);
     EngineSubset subset({ 32 });
     CHECK(subset.choose(fleet.candidates).size() == 90);
-    CHECK_FALSE(subset.has_more("model"));
+    CHECK_FALSE(subset.is_partial("model"));
 }
 
 TEST_CASE("The next keeper chooses the same engines, and a few that come or go change little", "[fleet][kill]")
@@ -96,7 +96,7 @@
     EngineSubset subset({ 32 });
     auto chosen = subset.choose(fleet.candidates);
     int growths = 0;
-    while (subset.has_more("model")) {
+    while (subset.is_partial("model")) {
         subset.grow("model");
         ++growths;
         auto const more = subset.choose(fleet.candidates);
@@ -117,7 +117,7 @@
     std::size_t other = 0;
     while (std::binary_search(chosen.begin(), chosen.end(), other))
         ++other;
-    subset.keep(fleet.names[other]);
+    subset.pin(fleet.names[other]);
     auto const after = subset.choose(fleet.candidates);
     CHECK(std::binary_search(after.begin(), after.end(), other));
     CHECK(common(chosen, after) == chosen);
