--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -473,7 +473,7 @@
     MemoryForecast const& forecast_of(Engine const& engine, MonotonicTime now) const;
     MemoryForecast const& forecast_of(PlacementAsk const& ask) const;
     Duration mean_step_time(std::string_view model) const;
-    AnswerForecast answer_forecast(PlacementAsk const& ask, double made_tokens) const;
+    AnswerForecast answer_forecast(PlacementAsk const& ask, double generated_tokens) const;
     double usable_memory(Engine const& engine) const;
     bool may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const;
     bool has_capacity(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -94,7 +94,7 @@
     // The answers that it makes hold their memory longer by the time of the reading, as if it took more than one.
     auto const answer_time = this->answer_forecast(ask, 0).expected_tokens * to_seconds(engine.step_time);
     auto const others = static_cast<double>(engine.slots.size()) * to_seconds(this->compute_time(engine, tokens)) / std::max(to_seconds(engine.step_time), answer_time);
-    return engine.description.memory_tokens == 0 || this->forecast_of(engine, now).has_room_for(this->forecast_of(ask), Duration::zero(), this->usable_memory(engine), 1 + others);
+    return engine.description.memory_tokens == 0 || this->forecast_of(engine, now).has_capacity_for(this->forecast_of(ask), Duration::zero(), this->usable_memory(engine), 1 + others);
 }
 
 // An engine that read this prompt before, for an answer that broke off or in the same session, still has it: it reads
@@ -426,13 +426,13 @@
     return static_cast<double>(engine.description.memory_tokens) * (1 - this->options.memory_headroom);
 }
 
-AnswerForecast CellScheduler::answer_forecast(PlacementAsk const& ask, double made_tokens) const
+AnswerForecast CellScheduler::answer_forecast(PlacementAsk const& ask, double generated_tokens) const
 {
     auto const estimate = this->output_estimates.find(ask.model);
     auto const learned = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
     AnswerForecast answer;
     answer.prompt_tokens = static_cast<double>(ask.prompt_tokens + ask.relayed_tokens);
-    answer.made_tokens = made_tokens;
+    answer.generated_tokens = generated_tokens;
     answer.expected_tokens = ask.expected_output_tokens > 0 ? static_cast<double>(ask.expected_output_tokens) : learned;
     answer.maximum_tokens = ask.maximum_output_tokens > 0 ? static_cast<double>(ask.maximum_output_tokens) : 4 * learned;
     return answer;
@@ -478,7 +478,7 @@
         double const made = is_decoding ? to_seconds(now - running.decode_from) / std::max(1e-6, to_seconds(engine.step_time)) : 0;
         auto answer = this->answer_forecast(running.ask, made);
         // One that outlived its caller's limit by our reckoning is about to end.
-        answer.made_tokens = std::min(answer.made_tokens, answer.maximum_tokens - 1);
+        answer.generated_tokens = std::min(answer.generated_tokens, answer.maximum_tokens - 1);
         forecast.add(answer, engine.step_time);
     }
     engine.forecast = forecast;
@@ -498,7 +498,7 @@
         return false;
     if (engine.description.memory_tokens == 0)
         return true;
-    return this->forecast_of(engine, now).has_room_for(this->forecast_of(ask), std::chrono::duration_cast<Duration>(when - now), this->usable_memory(engine));
+    return this->forecast_of(engine, now).has_capacity_for(this->forecast_of(ask), std::chrono::duration_cast<Duration>(when - now), this->usable_memory(engine));
 }
 
 std::optional<CellScheduler::Placement> CellScheduler::find_placement(PlacementAsk const& ask, MonotonicTime now)
--- a/Libraries/LibDecision/MemoryForecast.cpp
+++ b/Libraries/LibDecision/MemoryForecast.cpp
@@ -21,50 +21,50 @@
 
 }
 
-double probability_beyond(double length, AnswerForecast const& answer, double spread)
+double probability_of_exceeding(double length, AnswerForecast const& answer, double spread)
 {
     if (length >= answer.maximum_tokens)
         return 0;
-    if (length <= answer.made_tokens)
+    if (length <= answer.generated_tokens)
         return 1;
     auto const median = std::max(1.0, answer.expected_tokens);
-    return upper_tail(length, median, spread) / upper_tail(answer.made_tokens, median, spread);
+    return upper_tail(length, median, spread) / upper_tail(answer.generated_tokens, median, spread);
 }
 
 void MemoryForecast::add(AnswerForecast const& answer, Duration per_token)
 {
     auto const tokens_per_step = to_seconds(STEP) / std::max(1e-6, to_seconds(per_token));
     auto const median = std::max(1.0, answer.expected_tokens);
-    auto const made_share = upper_tail(answer.made_tokens, median, this->options.spread);
+    auto const reached_probability = upper_tail(answer.generated_tokens, median, this->options.spread);
     for (std::size_t i = 0; i < STEPS; ++i) {
-        auto const length = answer.made_tokens + tokens_per_step * static_cast<double>(i);
+        auto const length = answer.generated_tokens + tokens_per_step * static_cast<double>(i);
         if (length >= answer.maximum_tokens)
             return;
-        auto const goes_on = i == 0 ? 1.0 : upper_tail(length, median, this->options.spread) / made_share;
-        if (goes_on < 0.001)
+        auto const continuation_probability = i == 0 ? 1.0 : upper_tail(length, median, this->options.spread) / reached_probability;
+        if (continuation_probability < 0.001)
             return;
         auto const held = answer.prompt_tokens + length;
-        this->tokens[i] += goes_on * held;
-        this->answer_tokens[i] += goes_on * length;
-        this->variance[i] += goes_on * (1 - goes_on) * held * held;
+        this->tokens[i] += continuation_probability * held;
+        this->answer_tokens[i] += continuation_probability * length;
+        this->variance[i] += continuation_probability * (1 - continuation_probability) * held * held;
     }
 }
 
-bool MemoryForecast::fits(MemoryForecast const& other, std::size_t delay_steps, double memory_tokens, double times) const
+bool MemoryForecast::fits(MemoryForecast const& other, std::size_t delay_steps, double memory_tokens, double count) const
 {
     for (std::size_t i = 0; i + delay_steps < STEPS; ++i) {
-        auto const expected = this->tokens[i + delay_steps] + times * other.tokens[i];
-        auto const deviation = std::sqrt(this->variance[i + delay_steps] + times * other.variance[i]);
-        auto const error = this->options.pace_error * (this->answer_tokens[i + delay_steps] + times * other.answer_tokens[i]);
+        auto const expected = this->tokens[i + delay_steps] + count * other.tokens[i];
+        auto const deviation = std::sqrt(this->variance[i + delay_steps] + count * other.variance[i]);
+        auto const error = this->options.progress_error * (this->answer_tokens[i + delay_steps] + count * other.answer_tokens[i]);
         if (expected + error + this->options.deviations * deviation > memory_tokens)
             return false;
     }
     return true;
 }
 
-bool MemoryForecast::has_room_for(MemoryForecast const& other, Duration delay, double memory_tokens, double times) const
+bool MemoryForecast::has_capacity_for(MemoryForecast const& other, Duration delay, double memory_tokens, double count) const
 {
-    return this->fits(other, std::min(STEPS - 1, static_cast<std::size_t>(std::max(Duration::zero(), delay) / STEP)), memory_tokens, times);
+    return this->fits(other, std::min(STEPS - 1, static_cast<std::size_t>(std::max(Duration::zero(), delay) / STEP)), memory_tokens, count);
 }
 
 Duration MemoryForecast::shortest_delay(MemoryForecast const& other, double memory_tokens) const
--- a/Libraries/LibDecision/MemoryForecast.h
+++ b/Libraries/LibDecision/MemoryForecast.h
@@ -15,7 +15,7 @@
     /// What it holds before the first token of the answer.
     double prompt_tokens = 0;
     /// Tokens made so far.
-    double made_tokens = 0;
+    double generated_tokens = 0;
     /// The median of what is expected in all.
     double expected_tokens = 1;
     /// It never has more.
@@ -37,7 +37,7 @@
         /// known; much where answers are.
         double deviations = 0;
         /// Part by which the tokens made so far may be more than reckoned from the pace.
-        double pace_error = 0;
+        double progress_error = 0;
     };
 
     MemoryForecast() = default;
@@ -49,7 +49,7 @@
     /// Adds an answer that is made at the given pace.
     void add(AnswerForecast const& answer, Duration per_token);
     /// Whether another forecast, begun after a delay, fits so many times beside this one into so much memory.
-    bool has_room_for(MemoryForecast const& other, Duration delay, double memory_tokens, double times = 1) const;
+    bool has_capacity_for(MemoryForecast const& other, Duration delay, double memory_tokens, double count = 1) const;
     /// The shortest delay after which it fits; the horizon's end where none is seen.
     Duration shortest_delay(MemoryForecast const& other, double memory_tokens) const;
     double tokens_at(std::size_t step) const { return this->tokens.at(step); }
@@ -57,7 +57,7 @@
     double peak() const;
 
 private:
-    bool fits(MemoryForecast const& other, std::size_t delay_steps, double memory_tokens, double times) const;
+    bool fits(MemoryForecast const& other, std::size_t delay_steps, double memory_tokens, double count) const;
 
     Options options {};
     std::array<double, STEPS> tokens {};
@@ -67,6 +67,6 @@
 };
 
 /// The probability that an answer that has come so far goes on beyond a length.
-double probability_beyond(double length, AnswerForecast const& answer, double spread);
+double probability_of_exceeding(double length, AnswerForecast const& answer, double spread);
 
 }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -46,7 +46,7 @@
     options.memory_headroom = settings.memory_headroom;
     options.forecast.spread = settings.length_spread;
     options.forecast.deviations = settings.memory_deviations;
-    options.forecast.pace_error = PACE_ERROR;
+    options.forecast.progress_error = PACE_ERROR;
     options.return_spread = settings.return_spread;
     options.policy.decode_prefill = SchedulerPolicy::DecodePrefill::Overflow;
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
--- a/Tests/LibDecision/TestMemoryForecast.cpp
+++ b/Tests/LibDecision/TestMemoryForecast.cpp
@@ -109,9 +109,9 @@
 TEST_CASE("An answer that outlived its guess is not taken for over")
 {
     auto const expected = answer(0, 3000, 1000, 8000);
-    REQUIRE(probability_beyond(3000, expected, SPREAD) == 1);
-    REQUIRE(probability_beyond(3300, expected, SPREAD) > 0.7);
-    REQUIRE(probability_beyond(8000, expected, SPREAD) == 0);
+    REQUIRE(probability_of_exceeding(3000, expected, SPREAD) == 1);
+    REQUIRE(probability_of_exceeding(3300, expected, SPREAD) > 0.7);
+    REQUIRE(probability_of_exceeding(8000, expected, SPREAD) == 0);
 }
 
 // The same memory, filled to the same part with answers to long prompts and with long answers: only of the latter it
@@ -125,14 +125,14 @@
         MemoryForecast next({ SPREAD, 1, 0.2 });
         next.add(answer(prompt, 0, expected, 4 * expected), milliseconds(1));
         double memory = 0;
-        while (!forecast.has_room_for(next, Duration::zero(), memory))
+        while (!forecast.has_capacity_for(next, Duration::zero(), memory))
             memory += 100;
         // Against what is expected alone.
         MemoryForecast expected_alone({ SPREAD, 0, 0 });
         for (int i = 0; i < 10; ++i)
             expected_alone.add(answer(prompt, made, expected, 4 * expected), milliseconds(1));
         double expected_memory = 0;
-        while (!expected_alone.has_room_for(next, Duration::zero(), expected_memory))
+        while (!expected_alone.has_capacity_for(next, Duration::zero(), expected_memory))
             expected_memory += 100;
         return memory / expected_memory;
     };
@@ -146,11 +146,11 @@
 {
     auto const running = forecast_of({ answer(5000, 2000, 2100, 2600), answer(5000, 1500, 2100, 2600) });
     auto const next = forecast_of({ answer(6000, 0, 1000, 2000) });
-    REQUIRE_FALSE(running.has_room_for(next, Duration::zero(), 16'000));
+    REQUIRE_FALSE(running.has_capacity_for(next, Duration::zero(), 16'000));
     auto const delay = running.shortest_delay(next, 16'000);
     REQUIRE(delay > Duration::zero());
     REQUIRE(delay < seconds(2));
-    REQUIRE(running.has_room_for(next, delay, 16'000));
+    REQUIRE(running.has_capacity_for(next, delay, 16'000));
     // More memory than there is never fits.
     REQUIRE(running.shortest_delay(next, 5'000) == MemoryForecast::STEP * static_cast<std::int64_t>(MemoryForecast::STEPS));
 }
