--- a/Libraries/LibDecision/LeaseTerm.cpp
+++ b/Libraries/LibDecision/LeaseTerm.cpp
@@ -8,7 +8,7 @@
 
 LeaseTerm::LeaseTerm(Options options, std::string holder)
     : options(options)
-    , name(std::move(holder))
+    , holder_name(std::move(holder))
 {
 }
 
@@ -16,23 +16,23 @@
 {
     if (this->is_held(now + needed))
         return Step::Use;
-    if (!this->is_known)
+    if (!this->is_row_known)
         return Step::Read;
-    bool const is_foreign = this->seen && this->seen->holder != this->name;
-    auto const free_from = this->seen_since + 2 * this->options.length + this->options.margin;
-    if (is_foreign && now < free_from)
+    bool const is_held_by_other = this->last_row && this->last_row->holder != this->holder_name;
+    auto const available_from = this->unchanged_since + 2 * this->options.length + this->options.margin;
+    if (is_held_by_other && now < available_from)
         return Step::Wait;
     return Step::Write;
 }
 
 void LeaseTerm::note_read(std::optional<LeaseRow> const& row, MonotonicTime now)
 {
-    this->is_known = true;
-    bool const is_unchanged = this->seen && row && this->seen->version == row->version;
+    this->is_row_known = true;
+    bool const is_unchanged = this->last_row && row && this->last_row->version == row->version;
     if (!is_unchanged)
-        this->seen_since = now;
-    this->seen = row;
-    bool const is_own = row && row->holder == this->name;
+        this->unchanged_since = now;
+    this->last_row = row;
+    bool const is_own = row && row->holder == this->holder_name;
     // A write whose answer was lost took effect. Its term began when it was sent, or later.
     if (is_own && row->version != this->token)
         this->note_written(row->version, now);
@@ -40,16 +40,16 @@
 
 void LeaseTerm::note_write_sent(MonotonicTime now)
 {
-    this->write_sent = now;
+    this->write_sent_at = now;
 }
 
 void LeaseTerm::note_written(std::int64_t version, MonotonicTime now)
 {
-    this->is_known = true;
-    this->seen = LeaseRow { this->name, version };
-    this->seen_since = now;
+    this->is_row_known = true;
+    this->last_row = LeaseRow { this->holder_name, version };
+    this->unchanged_since = now;
     this->token = version;
-    this->held_until = this->write_sent + this->options.length - this->options.margin;
+    this->held_until = this->write_sent_at + this->options.length - this->options.margin;
 }
 
 }
--- a/Libraries/LibDecision/LeaseTerm.h
+++ b/Libraries/LibDecision/LeaseTerm.h
@@ -49,15 +49,15 @@
     /// What has to be done to hold the lease from now until some time from now.
     Step next_step(MonotonicTime now, Duration needed) const;
     /// Version that a write has to find; 0 stands for no row.
-    std::int64_t expected_version() const { return this->seen ? this->seen->version : 0; }
-    std::string const& holder() const { return this->name; }
+    std::int64_t expected_version() const { return this->last_row ? this->last_row->version : 0; }
+    std::string const& holder() const { return this->holder_name; }
 
     void note_read(std::optional<LeaseRow> const& row, MonotonicTime now);
     /// Call just before a write is sent.
     void note_write_sent(MonotonicTime now);
     void note_written(std::int64_t version, MonotonicTime now);
     /// The write was refused, or its answer is lost; the row has to be read.
-    void note_write_failed() { this->is_known = false; }
+    void note_write_failed() { this->is_row_known = false; }
 
     bool is_held(MonotonicTime now) const { return this->held_until && now < *this->held_until; }
     /// Names the term to engines: never lower than that of an earlier holder.
@@ -65,11 +65,11 @@
 
 private:
     Options options;
-    std::string name;
-    bool is_known = false;
-    std::optional<LeaseRow> seen;
-    MonotonicTime seen_since;
-    MonotonicTime write_sent;
+    std::string holder_name;
+    bool is_row_known = false;
+    std::optional<LeaseRow> last_row;
+    MonotonicTime unchanged_since;
+    MonotonicTime write_sent_at;
     std::optional<MonotonicTime> held_until;
     std::int64_t token = 0;
 };
