--- a/Libraries/LibDecision/CellMap.cpp
+++ b/Libraries/LibDecision/CellMap.cpp
@@ -23,15 +23,15 @@
 /// Gives each cell to the VM with the highest score among those that keep no more cells than others.
 std::vector<std::string> choose_keepers(std::size_t cells, std::span<std::string const> virtual_machines)
 {
-    std::vector<std::string> free(virtual_machines.begin(), virtual_machines.end());
+    std::vector<std::string> available(virtual_machines.begin(), virtual_machines.end());
     std::vector<std::string> keepers;
     for (std::size_t cell = 0; cell < cells; ++cell) {
         auto const name = cell_name(cell);
-        auto const best = std::max_element(free.begin(), free.end(), [&](auto const& a, auto const& b) {
+        auto const best = std::max_element(available.begin(), available.end(), [&](auto const& a, auto const& b) {
             return rendezvous_score(a, name) < rendezvous_score(b, name);
         });
         keepers.push_back(*best);
-        free.erase(best);
+        available.erase(best);
     }
     return keepers;
 }
@@ -60,16 +60,16 @@
         std::sort(names.begin(), names.end());
         // Bounded load: no cell takes more than its even share of a kind, rounded up.
         std::size_t const bound = (names.size() + cells - 1) / cells;
-        std::vector<std::size_t> taken(cells, 0);
+        std::vector<std::size_t> load(cells, 0);
         for (auto const& name : names) {
             std::size_t best = cells;
             for (std::size_t cell = 0; cell < cells; ++cell) {
-                if (taken[cell] >= bound)
+                if (load[cell] >= bound)
                     continue;
                 if (best == cells || rendezvous_score(cell_name(cell), name) > rendezvous_score(cell_name(best), name))
                     best = cell;
             }
-            ++taken[best];
+            ++load[best];
             map.assignments.push_back({ name, best });
         }
     }
--- a/Libraries/LibDecision/RequestState.cpp
+++ b/Libraries/LibDecision/RequestState.cpp
@@ -50,7 +50,7 @@
     Transition { SlotPromised, RequestEvent::GiveUp, Failed },
 };
 
-bool leaves_for_upstream(RequestEvent event)
+bool is_dispatch(RequestEvent event)
 {
     return event == RequestEvent::DispatchPrefill || event == RequestEvent::Dispatch;
 }
@@ -67,7 +67,7 @@
     if (found == TRANSITIONS.end())
         return Failure { TransitionError { this->current, event } };
     this->current = found->to;
-    this->dispatched = this->dispatched || leaves_for_upstream(event);
+    this->dispatched = this->dispatched || is_dispatch(event);
     return this->current;
 }
 
