--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -14,26 +14,27 @@
 
 constexpr double LATENESS_QUANTILE = 0.95;
 constexpr double RATE_SMOOTHING = 0.2;
-/// Bounds of an engine's slowness: one sample that a lost packet or a paused VM spoiled is not believed.
+/// Bounds of an engine's slowness, so that one sample distorted by packet loss or a paused VM has little effect.
 constexpr double MINIMUM_SLOWNESS = 0.5;
 constexpr double MAXIMUM_SLOWNESS = 20;
-/// Of a prefill engine's pace, as the engines' protocol says.
+/// Prefill rate of a decode engine relative to a prefill engine, as defined by the engine protocol.
 constexpr double DECODE_PREFILL_RELATIVE_RATE = 0.5;
-/// Before it was measured: pieces of a few hundred tokens, each followed by a step of the answers.
+/// Initial stretch: chunks of a few hundred tokens, each followed by a decode step.
 constexpr double INITIAL_DECODE_PREFILL_STRETCH = 1.3;
 constexpr double MAXIMUM_DECODE_PREFILL_STRETCH = 4;
-/// A prefill that took no measurable time says nothing about an engine's rate.
 constexpr int MAXIMUM_BACKOFF_DOUBLINGS = 10;
-/// Longer than any report lags.
+/// Longer than the maximum delay of an engine report.
 constexpr Duration RELEASED_RETENTION = seconds(5);
-/// An answer and the time until its caller comes back for the rest; by then others' prompts took the memory.
+/// Covers the duration of an answer and the time until its caller retries; after that the cache has usually been
+/// evicted.
 constexpr Duration CACHED_PROMPT_RETENTION = seconds(20);
-/// Fewer say too little of an engine's pace.
+/// Shorter outputs are too noisy to estimate the step time.
 constexpr std::int64_t MINIMUM_STEP_TIME_TOKENS = 8;
-/// Whether waiting requests can still be on time is looked at no more often: it takes a look at each engine.
+/// The feasibility check of waiting requests visits every engine, so its frequency is limited.
 constexpr Duration FEASIBILITY_CHECK_INTERVAL = milliseconds(50);
-/// Prompts that a prefill engine is given ahead: one that it reads, and the next.
+/// A prefill engine is assigned the prompt that it runs and the next one.
 constexpr std::int64_t PREFILL_ENGINE_SLOTS = 2;
+/// Shorter prefills are below the resolution of the measurement and say nothing about an engine's rate.
 constexpr Duration MINIMUM_MEASURED_PREFILL = milliseconds(5);
 
 std::size_t earliest(std::span<PlacementCandidate const> candidates)
@@ -77,7 +78,7 @@
     for (auto const& description : descriptions) {
         auto const found = this->engines.find(description.name);
         bool const is_known = found != this->engines.end();
-        // One that started again holds nothing of what its earlier process was given and read.
+        // A restarted engine has lost the grants and the cache of its previous process.
         bool const has_restarted = is_known && found->second.description.started != description.started;
         if (has_restarted)
             std::erase_if(this->cached, [&](auto const& entry) { return entry.second.engine == description.name; });
@@ -103,7 +104,7 @@
         bool const same_limit = found != this->accounts.end()
             && found->second.description.requests_per_second == description.requests_per_second
             && found->second.description.burst == description.burst;
-        // A change of weight must not refill the bucket, else frequent changes would lift the limit.
+        // Changing the weight must not refill the bucket, otherwise frequent changes would bypass the rate limit.
         auto bucket = same_limit ? found->second.bucket : TokenBucket(description.requests_per_second, description.burst, now);
         double const served = found != this->accounts.end() ? found->second.served : 0;
         kept.emplace(description.name, Account { description, bucket, served });
@@ -132,7 +133,7 @@
     this->schedule(now);
 }
 
-// What is known from reports alone ends when the reports do not name it any more.
+// Adopted grants are removed as soon as the engine no longer reports them.
 void CellScheduler::remove_unreported(Engine const& engine, EngineReport const& report, MonotonicTime now)
 {
     std::vector<std::string> unreported;
@@ -194,7 +195,7 @@
     return found->second;
 }
 
-// A decode engine reads between the tokens of others, at half the pace of a prefill engine and somewhat less.
+// A decode engine interleaves prefill chunks with decode steps, at half the rate of a prefill engine or slightly less.
 Duration CellScheduler::compute_time(Engine const& engine, std::int64_t tokens) const
 {
     auto const usual = to_seconds(this->prefill_rate_of(engine).compute_time(tokens));
@@ -204,7 +205,7 @@
     return from_seconds(usual / DECODE_PREFILL_RELATIVE_RATE * (stretch == this->decode_prefill_stretch.end() ? INITIAL_DECODE_PREFILL_STRETCH : stretch->second));
 }
 
-// Only a prompt that waited for none tells the latency of results.
+// The latency of a result can only be measured for a prompt that was not queued behind another.
 void CellScheduler::update_prefill_rate(Engine& engine, QueuedPrefill const& prefill, MonotonicTime now)
 {
     auto const taken = std::chrono::duration_cast<Duration>(now - prefill.started);
@@ -229,7 +230,7 @@
     engine.slowness = std::clamp(engine.slowness, MINIMUM_SLOWNESS, MAXIMUM_SLOWNESS);
 }
 
-// The engine began with the next one in its queue while the result of this one was on its way.
+// The engine starts the next queued prompt while the result of this one is still in transit.
 void CellScheduler::end_prefill(std::string_view name, std::string_view request, MonotonicTime now)
 {
     auto const engine = this->engines.find(name);
@@ -245,7 +246,7 @@
         prefills.front().started = std::max(prefills.front().started, now - this->prefill_rate_of(engine->second).latency());
 }
 
-// Work from before this keeper's term counts against the engine until its origin or the reaper ends it.
+// Requests from before this keeper's term occupy the engine until their origin or the reaper ends them.
 void CellScheduler::adopt(Engine& engine, HeldWork const& held, MonotonicTime now)
 {
     if (engine.description.role != EngineRole::Decode)
@@ -273,7 +274,7 @@
         return;
     auto& engine = found->second;
     engine.last_report.reset();
-    // Many requests notice the same failure; only one after the last time out counts as another.
+    // Concurrent requests observe the same failure, so only the first failure after the backoff counts.
     if (now < engine.backoff_until)
         return;
     auto const doublings = std::min(engine.consecutive_failures++, MAXIMUM_BACKOFF_DOUBLINGS);
@@ -351,12 +352,12 @@
         this->refuse(ask, RefusalReason::QueueFull, this->expected_wait(ask.model, now), now);
         return;
     }
-    // A request that is placed again after a failure was counted the first time.
+    // A request that is placed again after a failure has already been counted against the rate limit.
     if (ask.relayed_tokens == 0 && !account->second.bucket.try_take(1, now)) {
         this->refuse(ask, RefusalReason::RateLimited, account->second.bucket.time_until(1, now), now);
         return;
     }
-    // An account that was idle starts level with the others and cannot save up its share.
+    // An idle account starts at the lowest usage of the waiting accounts, so that it cannot accumulate credit.
     double lowest_served = account->second.served;
     bool have_others_waiting = false;
     for (auto const& other : this->waiting) {
@@ -386,8 +387,8 @@
     this->decisions.emplace_back(PlacementRefusal { ask.request, reason, retry_after, ask.caller_attempt });
 }
 
-// A caller that comes back counts the time since its first visit. What it wants may be had in time yet, and else late:
-// refused again it would be lost.
+// A retrying caller measures its latency from the first attempt. The retry is scheduled for that deadline if it can be
+// met and served late otherwise, because a second refusal would fail the caller's request.
 void CellScheduler::detect_caller_retry(PlacementAsk& ask, MonotonicTime now)
 {
     bool const is_first_placement = ask.relayed_tokens == 0 && ask.excluded_engines.empty();
@@ -445,7 +446,7 @@
         this->schedule(now);
 }
 
-// An answer has begun, so its engine has read the prompt.
+// A decode engine has finished its prefill once the answer starts.
 void CellScheduler::end_decode_prefill(Granted const& granted, MonotonicTime now)
 {
     auto const engine = this->engines.find(granted.decode_engine);
@@ -511,7 +512,7 @@
 
 void CellScheduler::remove_granted(std::string request, MonotonicTime now)
 {
-    // NOTE: The name is a copy since the caller's may live in the node that is erased.
+    // NOTE: The name is copied because the caller's reference may point into the node that is erased.
     auto const found = this->granted.find(request);
     VERIFY(found != this->granted.end());
     this->end_prefill(found->second.reader(), request, now);
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -27,35 +27,35 @@
     Decode,
 };
 
-/// An engine as the configuration names it.
+/// An engine as described by the configuration.
 struct EngineDescription {
     std::string name;
     std::string model;
     EngineRole role = EngineRole::Prefill;
     std::int64_t decode_slots = 0;
-    /// Before anything was learned, in tokens a second.
+    /// Initial estimate in prompt tokens per second, used until prefills have been measured.
     double prefill_rate = 8000;
-    /// Bytes of KV cache of one prompt token, and the link's bytes a second.
+    /// KV cache bytes per prompt token, and link bandwidth in bytes per second.
     double cache_bytes_per_token = 0;
     double link_rate = 1;
-    /// Tokens that the engine's memory holds; 0 where only slots count.
+    /// Capacity of the KV cache in tokens; 0 if only the number of slots is limited.
     std::int64_t memory_tokens = 0;
     std::string data_centre {};
-    /// Tokens of an answer that come together.
+    /// Output tokens delivered in one event.
     std::int64_t tokens_per_event = 1;
-    /// Tells two starts of an engine apart; 0 where its starts have names of their own.
+    /// Distinguishes restarts under the same name; 0 if each incarnation has a name of its own.
     std::int64_t started = 0;
-    /// Requests a second that it bears until then; 0 where nothing bounds them.
+    /// Requests per second that the engine accepts until cold_until; 0 if unlimited.
     double cold_rate = 0;
     MonotonicTime cold_until {};
 };
 
-/// Work that an engine says it holds.
+/// A request that an engine reports as held.
 struct HeldWork {
     std::string request;
     std::string origin;
     std::string account;
-    /// Whether a reader takes its stream now.
+    /// Whether a reader is currently attached to the stream.
     enum class Reader {
         None,
         Attached,
@@ -63,7 +63,7 @@
         = Reader::None;
 };
 
-/// What an engine last said of itself.
+/// The last report of an engine.
 struct EngineReport {
     enum class Life {
         Serving,
@@ -74,7 +74,7 @@
     std::vector<HeldWork> held;
 };
 
-/// An account's share and limit.
+/// The scheduling weight and rate limit of an account.
 struct AccountDescription {
     std::string name;
     double weight = 1;
@@ -82,13 +82,13 @@
     double burst = 100;
 };
 
-/// Whether a caller was refused before with the same request.
+/// Whether the same request was refused to this caller before.
 enum class CallerAttempt {
     First,
     Retry,
 };
 
-/// One request that wants a prefill and a decode slot.
+/// A request for a prefill engine and a decode slot.
 struct PlacementAsk {
     std::string request;
     std::string account;
@@ -96,31 +96,32 @@
     std::string origin;
     std::int64_t prompt_tokens = 0;
     std::int64_t maximum_output_tokens = 0;
-    /// Tokens that were already relayed; their decode is not repeated.
+    /// Output tokens that were already relayed and are not decoded again.
     std::int64_t relayed_tokens = 0;
     MonotonicTime first_token_deadline;
-    /// Higher goes first.
+    /// Higher values are scheduled first.
     std::int64_t priority = 0;
-    /// What the answer will probably have; 0 where only what was learned is known.
+    /// Expected length of the output; 0 to use the estimate learned for the model.
     std::int64_t expected_output_tokens = 0;
-    /// A request that has no place by then is refused, so that its caller hears in time to come back.
+    /// A request that is not placed by this time is refused, so that the caller is notified early enough to retry.
     std::optional<MonotonicTime> decide_by {};
-    /// Engines that failed this request before.
+    /// Engines on which this request failed before.
     std::vector<std::string> excluded_engines {};
-    /// Those whose engines it may not go to, or that its VM does not reach.
+    /// Data centres that the request must not use or that its VM cannot reach.
     std::vector<std::string> excluded_data_centres {};
-    /// Where its answer will go.
+    /// Data centre of the VM that relays the answer.
     std::string data_centre {};
-    /// Longest pause between two events that is on time; zero where none is set.
+    /// Longest acceptable pause between two events; zero if there is no limit.
     Duration longest_pause {};
-    /// The part of the prompt that no other session has; empty where it is not known.
+    /// Identifies the part of the prompt that is unique to the session; empty if unknown.
     std::string own_part {};
-    /// Until when a late first token is still of use to the caller, where a request that was refused and came back is
-    /// served late rather than not at all.
+    /// Latest time at which a late first token is still useful to the caller. A retry of a refused request is served
+    /// late rather than refused again.
     std::optional<MonotonicTime> late_deadline {};
-    /// Found out by the scheduler.
+    /// Set by the scheduler.
     CallerAttempt caller_attempt = CallerAttempt::First;
-    /// Cannot be on time any more: goes behind all of its priority that can.
+    /// Late requests can no longer meet their deadline and are scheduled after all on-time requests of the same
+    /// priority.
     enum class Timeliness {
         OnTime,
         Late,
@@ -152,151 +153,153 @@
 struct PlacementRefusal {
     std::string request;
     RefusalReason reason;
-    /// When the caller should come back.
+    /// Delay after which the caller should retry.
     Duration retry_after {};
     CallerAttempt caller_attempt = CallerAttempt::First;
 };
 
 using PlacementDecision = std::variant<PlacementGrant, PlacementRefusal>;
 
-/// How far a granted request has come, as its origin says.
+/// Progress of a granted request, as reported by its origin.
 enum class GrantProgress {
     Prefilling,
     CacheHeld,
     Decoding,
 };
 
-/// A decode or prefill engine that could take a request.
+/// A prefill or decode engine that is eligible for a request.
 struct PlacementCandidate {
     std::string_view engine;
     std::int64_t free_slots = 0;
     MonotonicTime ready;
-    /// By how much it counts as later in the choice.
+    /// Added to the ready time when candidates are compared.
     Duration preference_penalty {};
 };
 
-/// The choices of the scheduler that an experiment may replace.
+/// Scheduling choices that experiments can replace.
 struct SchedulerPolicy {
-    /// Whether a prefill waits for a decode slot that will be there.
+    /// Whether a prefill may start only if a decode slot is expected to be free when it ends.
     enum class SlotPromise {
         Required,
         Ignored,
     } slot_promise
         = SlotPromise::Required;
-    /// Whether a request that cannot meet its first token any more is refused at once.
+    /// Whether a request is refused as soon as its first token deadline cannot be met.
     enum class EarlyRefusal {
         On,
         Off,
     } early_refusal
         = EarlyRefusal::On;
-    /// Whether a request that has room now goes before one that has to wait for more.
+    /// Whether a request that fits now may be placed ahead of one that has to wait for more capacity.
     enum class Backfill {
         On,
         Off,
     } backfill
         = Backfill::Off;
-    /// Whether the engines of a role that failed least are used when all of the role are left out.
+    /// Whether the engines with the fewest failures are used while all engines of the role are in backoff.
     enum class LastResort {
         On,
         Off,
     } last_resort
         = LastResort::Off;
-    /// Whether a decode engine reads a prompt itself: where no prefill engine is to be had, or also where none would
-    /// have it read in time.
+    /// Whether decode engines run prefills: only while no prefill engine is available, or also when prefill engines
+    /// would miss the deadline.
     enum class DecodePrefill {
         Off,
         WithoutPrefillEngines,
         Overflow,
     } decode_prefill
         = DecodePrefill::Off;
-    /// Picks one of the candidates; empty stands for the built-in choice.
+    /// Selects one of the candidates; the default policy applies if unset.
     std::function<std::size_t(std::span<PlacementCandidate const>)> choose_prefill;
     std::function<std::size_t(std::span<PlacementCandidate const>)> choose_decode;
 };
 
-/// Schedules one cell exactly: who gets which prefill engine and which decode slot, and when.
-/// Pure: time is passed in and nothing is sent.
+/// Schedules all requests of one cell: assigns prefill engines and decode slots and decides when each request starts.
+/// Performs no I/O; the current time is an argument of each call.
 class CellScheduler {
 public:
     struct Options {
-        /// Engines that were silent for longer get nothing new.
+        /// Engines whose last report is older get no new requests.
         Duration report_validity = milliseconds(3000);
-        /// A grant that its origin does not take up is withdrawn after this time.
+        /// A grant that its origin has not confirmed within this time is withdrawn.
         Duration grant_lease = milliseconds(1500);
-        /// A grant that neither its origin nor an engine's report named for so long is over: its release was lost.
+        /// A grant that neither its origin nor an engine report has mentioned for this long is removed, since its
+        /// release was lost.
         Duration stale_grant_timeout = milliseconds(3000);
-        /// Time that an engine is left out after a first failure, and the longest after many.
+        /// Backoff after the first failure of an engine, and its upper bound.
         Duration initial_backoff = milliseconds(500);
         Duration maximum_backoff = milliseconds(10'000);
-        /// How far ahead a prefill engine is filled. Short, so that late decisions stay cheap.
+        /// Maximum queueing delay at a prefill engine. Short, so that requests are assigned as late as possible.
         Duration prefill_ahead = milliseconds(300);
-        /// How long a finished prefill is kept by its engine.
+        /// How long an engine holds the KV cache of a finished prefill.
         Duration cache_hold = milliseconds(900);
-        /// Part of the hold time left free for mistakes.
+        /// Part of the hold time that is reserved for prediction errors.
         Duration safety_margin = milliseconds(100);
         std::size_t queue_limit = 2000;
-        /// Refused callers are told to come back at times that are spread over this, so that they do not all
-        /// meet the same crowd again.
+        /// Width of the hash-based jitter added to retry delays, so that refused callers do not retry all at once.
         Duration return_spread {};
-        /// Whether an engine is used only while it reports.
+        /// Whether an engine must have sent a recent report to be used.
         enum class ReportNeed {
             Required,
             None,
         } report_need
             = ReportNeed::Required;
-        /// Part of an engine's memory that is never promised, so that answers that turn out longer than was
-        /// expected are not put back in the middle.
+        /// Fraction of an engine's memory that is never promised, so that answers that grow longer than expected are
+        /// not preempted.
         double memory_headroom = 0.05;
         MemoryForecast::Options forecast {};
-        /// Part of an engine's memory by which another may be fuller and is preferred, since it is in the data
-        /// centre of the VM that asks: a cut between data centres then harms nothing that runs.
+        /// Fraction of memory by which a decode engine in the data centre of the requesting VM may be fuller and is
+        /// still preferred. Streams that stay in one data centre are not affected by a partition between data centres.
         double local_memory_preference = 0.15;
-        /// By how much later a prefill engine of the asking VM's data centre may be done and is preferred. Decode engines
-        /// are chosen there too, so memory then stays in one data centre: half the time on the links and half the price. A
-        /// third of the reading of a usual prompt, and little of what callers wait for a first token.
+        /// Delay by which a prefill engine in the data centre of the requesting VM may finish later and is still
+        /// preferred. Decode engines are chosen there too, so the KV cache stays in one data centre, which halves link
+        /// time and cost. 30 ms is a third of a typical prefill and small compared with the first token target.
         Duration local_prefill_preference = milliseconds(30);
-        /// An engine's time for one token before any was measured.
+        /// Decode step time assumed until it has been measured.
         Duration initial_step_time = milliseconds(25);
-        /// Longest time between tokens that a decode engine is filled up to.
+        /// Decode engines whose time between tokens exceeds this get no further requests.
         Duration token_target = milliseconds(37);
         SchedulerPolicy policy {};
     };
 
     explicit CellScheduler(Options options);
 
-    /// Replaces the engines; what is held at engines that stay is kept.
+    /// Replaces the set of engines. The state of engines that remain is kept.
     void set_engines(std::span<EngineDescription const> engines);
     void set_accounts(std::span<AccountDescription const> accounts, MonotonicTime now);
 
     void report(std::string_view engine, EngineReport const& report, MonotonicTime now);
-    /// An entry's attempt at the engine failed. It gets nothing new until it reports again and a time has
-    /// passed that doubles with each failure in a row; then one request tries it, and its success ends that.
+    /// Records a failed attempt at the engine. It gets no new requests until it reports again and its backoff has
+    /// expired; the backoff doubles with each consecutive failure. A single probe request then has to succeed before
+    /// the engine gets more.
     void note_failure(std::string_view engine, MonotonicTime now);
-    /// A hint from elsewhere (VM list, operator's drain) that an engine is leaving. Stays until cleared.
+    /// Marks the engine as leaving because of the VM list or an operator's drain. Stays in effect until it is cleared.
     void set_leaving(std::string_view engine, EngineReport::Life life);
 
     void ask(PlacementAsk ask, MonotonicTime now);
     void progress(std::string_view request, GrantProgress progress, MonotonicTime now);
-    /// What an entry says it was granted by an earlier keeper. Takes the place of what a report alone said.
-    /// For a request that is known it only says that its grant is in use. The age is that of its progress.
+    /// Restores a grant of an earlier keeper as reported by its origin, replacing a grant adopted from an engine
+    /// report. For a known grant this only confirms that it is still in use. The age is the time since the last
+    /// progress.
     void restore(PlacementAsk ask, std::string_view prefill_engine, std::string_view decode_engine, GrantProgress progress, Duration age, MonotonicTime now);
-    /// The engine has the prompts with these parts in its memory, and may keep them for some time.
+    /// Records that the engine has cached the prompts with these session parts.
     void note_cached(std::string_view engine, std::span<std::string const> own_parts, MonotonicTime now);
-    /// The request ended, or its caller is gone; frees all it holds here.
+    /// Releases everything held by a request that ended or whose caller disconnected.
     void release(std::string_view request, std::int64_t output_tokens, MonotonicTime now);
 
-    /// The origin's process is gone: what it was granted is free, but for what engines still report.
+    /// Releases the grants of an origin whose process is dead. Slots that engines still report as held stay occupied.
     void forget_origin(std::string_view origin, MonotonicTime now);
-    /// Origins that hold a grant.
+    /// Origins that hold a grant or wait for one.
     std::set<std::string> origins() const;
 
-    /// Lets time pass: expired grants, refusals that came due, queued work that fits now.
+    /// Removes expired grants, refuses overdue requests and places waiting requests that now fit.
     void advance(MonotonicTime now);
 
-    /// Decisions since the last call, in order.
+    /// Returns the decisions made since the last call, in order.
     std::vector<PlacementDecision> take_decisions();
 
-    /// Where a request's stream lives, and whose it is.
+    /// The engine that serves a request's stream, and the account it belongs to.
     struct Location {
         std::string decode_engine;
         std::string account;
@@ -304,29 +307,29 @@
     std::optional<Location> locate(std::string_view request) const;
     bool knows(std::string_view request) const;
 
-    /// An engine as far as roles and capacity matter.
+    /// State of an engine that is relevant to role balancing and capacity.
     struct EngineState {
         std::string name;
         EngineRole role = EngineRole::Prefill;
         std::string data_centre;
-        /// Prompts in its queue and answers that it makes or was promised.
+        /// Queued prefills, running answers and promised slots.
         std::int64_t work = 0;
-        /// Of the model's engines, as far as it was measured.
+        /// Rate learned for the engine's model.
         double prefill_rate = 0;
         Duration step_time {};
         bool is_rate_measured = false;
-        /// Memory that answers may fill.
+        /// Memory available to answers, in tokens.
         double memory_tokens = 0;
         std::int64_t decode_slots = 0;
-        /// Whether the last that was sent to it failed; it may be out of this VM's reach alone.
+        /// Whether the last request sent to the engine failed. The engine may only be unreachable from this VM.
         bool is_failing = false;
         bool is_leaving = false;
     };
-    /// The engines by model.
+    /// Engine states by model.
     std::map<std::string, std::vector<EngineState>> engine_states() const;
 
-    /// Models for which a request waits, or of whose engines more than this part is taken: of those that make answers the
-    /// places, of those that read prompts what they are given ahead.
+    /// Models with waiting requests, or whose engines of a role use more than the given share of their capacity: decode
+    /// slots for decode engines, queue positions for prefill engines.
     std::set<std::string> saturated_models(double share) const;
 
     struct Summary {
@@ -339,7 +342,7 @@
     Summary summary(MonotonicTime now) const;
 
 private:
-    /// Bounds of the time after which a refused caller is told to come back.
+    /// Bounds of the retry delay of refused callers.
     static constexpr Duration MINIMUM_RETRY_AFTER = milliseconds(100);
     static constexpr Duration MAXIMUM_RETRY_AFTER = seconds(30);
 
@@ -347,7 +350,7 @@
         std::string request;
         std::int64_t tokens = 0;
         MonotonicTime started;
-        /// Whether another prompt was before it.
+        /// Whether another prompt was queued ahead of this one.
         bool has_queued = false;
     };
 
@@ -358,21 +361,20 @@
         EngineReport::Life hinted_life = EngineReport::Life::Serving;
         int consecutive_failures = 0;
         MonotonicTime backoff_until;
-        /// The one request that tries out an engine which failed before.
+        /// The only request that is placed on an engine after a failure until it succeeds.
         std::string probe_request;
         Duration step_time = milliseconds(25);
-        /// What prefills take here against what engines of the model usually take.
+        /// Ratio of prefill times on this engine to the average of the model.
         double slowness = 1;
-        /// Prefills granted and not known to be finished, in the order of their grants. At a decode engine those that
-        /// it reads itself.
+        /// Unfinished prefills in the order of their grants. On a decode engine, those that it runs itself.
         std::vector<QueuedPrefill> prefills;
-        /// What it may be given while it is cold.
+        /// Limits the request rate while the engine is cold.
         mutable std::optional<TokenBucket> cold_start_bucket;
-        /// Left out like all others of its role, and used all the same since it failed least.
+        /// In backoff, but used because all engines of the role are and this one failed least.
         bool is_last_resort = false;
-        /// Requests that hold or were promised a slot here.
+        /// Requests that hold or were promised a slot on this engine.
         std::set<std::string, std::less<>> slots;
-        /// What they will hold; empty when it has to be worked out anew.
+        /// Cached memory forecast; unset when it has to be recomputed.
         mutable std::optional<MemoryForecast> forecast;
         mutable MonotonicTime forecast_made;
     };
@@ -382,17 +384,17 @@
         std::string prefill_engine;
         std::string decode_engine;
         GrantProgress phase = GrantProgress::Prefilling;
-        /// Known from an engine's report alone, from before this keeper's term.
+        /// Known only from an engine report, from before this keeper's term.
         bool adopted = false;
-        /// Whether the origin said that it uses the grant.
+        /// Whether the origin has confirmed that it uses the grant.
         bool is_confirmed = false;
         MonotonicTime granted_at;
-        /// When its origin or an engine's report last named it.
+        /// When the origin or an engine report last mentioned the grant.
         MonotonicTime last_seen;
         MonotonicTime predicted_first_token;
         MonotonicTime decode_from;
 
-        /// The engine that reads the prompt: where no prefill engine does, the one that answers.
+        /// The engine that runs the prefill: the decode engine if there is no prefill engine.
         std::string const& reader() const { return this->prefill_engine.empty() ? this->decode_engine : this->prefill_engine; }
     };
 
@@ -407,7 +409,7 @@
         std::string decode;
         MonotonicTime first_token;
         MonotonicTime prefill_end;
-        /// What is to be read of the prompt and of what was relayed.
+        /// Prompt and relayed tokens that have to be prefilled.
         std::int64_t tokens = 0;
         std::size_t candidates = 0;
     };
@@ -421,7 +423,7 @@
     void schedule(MonotonicTime now);
     void mark_last_resorts(MonotonicTime now);
     bool has_usable_prefill(PlacementAsk const& ask, MonotonicTime now) const;
-    /// Why a decode engine would read a prompt itself.
+    /// Why a decode engine runs a prefill.
     enum class DecodePrefillReason {
         NoPrefillEngine,
         Overflow,
@@ -453,11 +455,11 @@
     void remove_granted(std::string request, MonotonicTime now);
     void adopt(Engine& engine, HeldWork const& held, MonotonicTime now);
     void remove_unreported(Engine const& engine, EngineReport const& report, MonotonicTime now);
-    /// Whether one request tries the engine, after it failed.
+    /// Whether the engine failed and has not served a request successfully since.
     bool is_probed(std::string_view engine) const;
     void note_success(std::string_view engine);
     void end_prefill(std::string_view engine, std::string_view request, MonotonicTime now);
-    /// When the engine begins with a prompt that is sent to it now.
+    /// When the engine would start a prompt that is sent to it now.
     MonotonicTime busy_until(Engine const& engine, MonotonicTime now) const;
     PrefillRateEstimator const& prefill_rate_of(Engine const& engine) const;
     void end_decode_prefill(Granted const& granted, MonotonicTime now);
@@ -493,22 +495,22 @@
     std::map<std::string, QuantileEstimator, std::less<>> output_estimates;
     /// By model.
     std::map<std::string, PrefillRateEstimator, std::less<>> prefill_rates;
-    /// What a decode engine's reading takes against the pace that engines have for it; the steps of the answers that
-    /// it makes meanwhile come on top. By model.
+    /// Ratio of prefill time on a decode engine to its nominal time, which grows with the decode steps interleaved with
+    /// the prefill. By model.
     std::map<std::string, double, std::less<>> decode_prefill_stretch;
-    /// Time for one token by model, as measured lately; new engines begin with it.
+    /// Recently measured time per output token by model; the initial value for new engines.
     std::map<std::string, Duration, std::less<>> model_step_times;
-    /// By how much first tokens came later than predicted, as a high quantile in milliseconds.
+    /// How much later than predicted first tokens arrived, as a high quantile in milliseconds.
     QuantileEstimator lateness;
     std::vector<PlacementAsk> waiting;
     RefusalHistory refusal_history;
-    /// What waiting requests would hold, by request; filled as needed and emptied now and then.
+    /// Memory forecasts of waiting requests by request; computed on demand and purged occasionally.
     mutable std::map<std::string, MemoryForecast, std::less<>> ask_forecasts;
     MonotonicTime last_feasibility_check;
     std::map<std::string, Granted, std::less<>> granted;
-    /// Requests released lately: reports lag and still name them.
+    /// Recently released requests, which delayed reports may still mention.
     std::map<std::string, MonotonicTime, std::less<>> released;
-    /// Where a prompt was read last, by its own part.
+    /// The engine that last ran the prefill of a prompt, by the prompt's session part.
     struct CachedPrompt {
         std::string engine;
         MonotonicTime since;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-// The choices of the cell scheduler: who is next, where it goes, and who is refused. What comes in from
-// outside is taken in CellScheduler.cpp.
+// Placement decisions of the cell scheduler: the order of requests, the choice of engines, and refusals. Input events
+// are handled in CellScheduler.cpp.
 
 #include <LibDecision/CellScheduler.h>
 #include <algorithm>
@@ -14,24 +14,24 @@
 namespace {
 
 constexpr double INITIAL_OUTPUT_ESTIMATE_TOKENS = 64;
-/// More than this is a fault somewhere and no matter of prediction.
+/// Larger delays indicate a fault rather than a prediction error.
 constexpr Duration MAXIMUM_EXPECTED_LATENESS = milliseconds(400);
-/// Requests that a smaller one may go before, so that a turn's work stays bounded.
+/// Limits how many waiting requests a backfill pass skips, which bounds the work per pass.
 constexpr std::size_t MAXIMUM_SKIPPED_REQUESTS = 8;
 constexpr double OUTPUT_QUANTILE = 0.8;
-/// A prompt whose reading time stands for an engine's rate.
+/// Prompt length used to convert the compute time of an engine into a rate.
 constexpr std::int64_t RATE_REFERENCE_TOKENS = 1000;
-/// Tokens of a prompt that a decode engine reads at most between two tokens of the others. A quarter of a prefill
-/// engine's piece, which has 1,024 to 2,048 with engines of today.
+/// Maximum prompt tokens that a decode engine processes between two decode steps. A quarter of the chunk size of
+/// prefill engines, which is 1,024 to 2,048 tokens for current engines.
 constexpr std::int64_t MAXIMUM_DECODE_PREFILL_CHUNK_TOKENS = 512;
-/// A cold engine that was idle is given the requests of so long at once, so that with those of the second after it gets a
-/// quarter more than it bears.
+/// Burst allowed to an idle cold engine, in seconds of its rate. Together with the following second the engine gets at
+/// most 25 % more than its rate.
 constexpr double COLD_START_BURST_SECONDS = 0.25;
-/// Part of the longest pause that a reading may fill; the network takes some.
+/// Fraction of the longest acceptable pause that a prefill may use; the rest covers network delay.
 constexpr double MAXIMUM_PAUSE_SHARE = 0.95;
-/// Before its time to be decided ends, a request is looked at once more at least: two ticks of a keeper.
+/// Two ticks of the keeper, so that a request is considered at least once more before it has to be decided.
 constexpr Duration OVERFLOW_BEFORE_DECISION = milliseconds(40);
-/// Of requests that do not wait any more; more are dropped together.
+/// Limit on cached forecasts of requests that are no longer waiting; all are purged when it is exceeded.
 constexpr std::size_t MAXIMUM_UNUSED_FORECASTS = 64;
 
 }
@@ -48,8 +48,8 @@
         this->schedule_model(model, now);
 }
 
-// Engines that lose single answers are left out one after the other, until none would be left. Those that
-// failed least go on: a request that one of them fails is no worse off than one that is refused.
+// Engines that lose individual answers enter backoff one after another until none is left. The ones with the fewest
+// failures stay in use: a request that fails there is no worse off than a refused one.
 void CellScheduler::mark_last_resorts(MonotonicTime now)
 {
     if (this->options.policy.last_resort == SchedulerPolicy::LastResort::Off)
@@ -79,8 +79,8 @@
     });
 }
 
-// While a decode engine reads a prompt, the answers that it makes get no token but one between two pieces. What
-// that costs them is a pause; where it is longer than they may have, each of them is late for the sake of one.
+// While a decode engine runs a prefill, its other answers progress by only one step per chunk. If the resulting pause
+// exceeds the limit, all of them would be late for the sake of a single request.
 bool CellScheduler::can_run_prefill(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const
 {
     if (!engine.prefills.empty())
@@ -91,14 +91,15 @@
     bool const delays_other_answers = ask.longest_pause > Duration::zero() && !engine.slots.empty() && to_seconds(pause) > MAXIMUM_PAUSE_SHARE * to_seconds(ask.longest_pause);
     if (delays_other_answers)
         return false;
-    // The answers that it makes hold their memory longer by the time of the reading, as if it took more than one.
+    // The prefill extends how long the running answers hold their memory, which is modelled as additional copies of the
+    // request.
     auto const answer_time = this->answer_forecast(ask, 0).expected_tokens * to_seconds(engine.step_time);
     auto const others = static_cast<double>(engine.slots.size()) * to_seconds(this->compute_time(engine, tokens)) / std::max(to_seconds(engine.step_time), answer_time);
     return engine.description.memory_tokens == 0 || this->forecast_of(engine, now).has_capacity_for(this->forecast_of(ask), Duration::zero(), this->usable_memory(engine), 1 + others);
 }
 
-// An engine that read this prompt before, for an answer that broke off or in the same session, still has it: it reads
-// no more than what the answer had so far.
+// An engine that ran this prefill before, for an interrupted answer or in the same session, still has it cached and
+// only has to process the tokens relayed since.
 std::optional<CellScheduler::Placement> CellScheduler::find_cached(PlacementAsk const& ask, MonotonicTime now) const
 {
     auto const known = ask.own_part.empty() ? this->cached.end() : this->cached.find(ask.own_part);
@@ -143,7 +144,7 @@
     return placement;
 }
 
-// A prompt goes past the prefill engines where they would have it read too late, or at the last moment to decide.
+// Prompts are placed on decode engines if prefill engines would miss the deadline, or shortly before a decision is due.
 bool CellScheduler::is_overflow_due(PlacementAsk const& ask, MonotonicTime now) const
 {
     if (this->options.policy.decode_prefill != SchedulerPolicy::DecodePrefill::Overflow)
@@ -188,7 +189,7 @@
         return ScheduleStep::MustWait;
     auto ask = std::move(this->waiting[index]);
     this->waiting.erase(this->waiting.begin() + static_cast<std::ptrdiff_t>(index));
-    // The best place now is the best there will be: later only is later.
+    // Waiting cannot improve on the best placement available now.
     if (!this->is_on_time(*placement, ask) && this->options.policy.early_refusal == SchedulerPolicy::EarlyRefusal::On) {
         this->refuse(ask, RefusalReason::CannotMeetFirstToken, this->expected_wait(ask.model, now), now);
         return ScheduleStep::Refused;
@@ -207,15 +208,15 @@
     if (this->options.policy.early_refusal == SchedulerPolicy::EarlyRefusal::Off)
         return false;
     auto const best = this->best_first_token(ask, now);
-    // Without any engine heard of, a keeper new in office still waits for reports until the deadline.
+    // If no engine has reported yet, as after a change of keeper, requests wait for reports until their deadline.
     if (!best || *best + this->queueing_delay(ask, now) <= ask.first_token_deadline)
         return false;
     this->refuse(ask, RefusalReason::CannotMeetFirstToken, this->expected_wait(ask.model, now), now);
     return true;
 }
 
-// The time that the engines of the model take to read what goes before this request. Of equals those go first that
-// wait already.
+// Time that the model's engines need to prefill the requests ahead of this one. Among equals, requests that are already
+// waiting come first.
 Duration CellScheduler::queueing_delay(PlacementAsk const& ask, MonotonicTime now) const
 {
     double tokens = 0;
@@ -242,7 +243,7 @@
 
 void CellScheduler::refuse_infeasible(MonotonicTime now)
 {
-    // One by one: what is refused does not stand before others any more.
+    // One at a time, because each refusal shortens the queue for the remaining requests.
     for (std::size_t i = 0; i < this->waiting.size();) {
         if (this->refuse_if_infeasible(this->waiting[i], now))
             this->waiting.erase(this->waiting.begin() + static_cast<std::ptrdiff_t>(i));
@@ -251,7 +252,7 @@
     }
 }
 
-// Those whose time is over, whatever engines there are.
+// Refuses requests past their decision time or deadline, regardless of available engines.
 void CellScheduler::refuse_overdue(std::string const& model, MonotonicTime now)
 {
     std::erase_if(this->waiting, [&](auto const& ask) {
@@ -264,7 +265,7 @@
     });
 }
 
-// Priority first, then who can be on time, then the account that had least for its weight, then the earliest deadline.
+// Orders by priority, timeliness, weighted usage of the account, and deadline.
 bool CellScheduler::precedes(PlacementAsk const& a, PlacementAsk const& b) const
 {
     auto const served = [&](PlacementAsk const& ask) {
@@ -302,7 +303,7 @@
         return is_serving;
     if (now < engine.backoff_until)
         return false;
-    // An engine that failed gets one request to try it, and no more until that succeeded.
+    // After a failure only one probe request is placed until it succeeds.
     if (engine.consecutive_failures > 0 && this->granted.contains(engine.probe_request))
         return false;
     if (is_cold(engine, now) && engine.cold_start_bucket && engine.cold_start_bucket->time_until(1, now) > Duration::zero())
@@ -310,7 +311,7 @@
     return is_serving;
 }
 
-// Work that comes faster than a cold engine bears ends its process, and with it all that it was given.
+// A cold engine that receives requests faster than it can accept them crashes and loses all requests it holds.
 void CellScheduler::take_cold_start_token(Engine& engine, MonotonicTime now)
 {
     if (!is_cold(engine, now))
@@ -321,7 +322,7 @@
     engine.cold_start_bucket->try_take(1, now);
 }
 
-// An engine whose steps are slower than the target between tokens is not filled further.
+// Engines whose step time exceeds the target between tokens get no additional requests.
 std::int64_t CellScheduler::usable_slots(Engine const& engine) const
 {
     if (engine.step_time > this->options.token_target)
@@ -395,7 +396,7 @@
     return best;
 }
 
-// When a decode engine will have room for the request, as far as predictions go. Empty where none tells.
+// Earliest predicted time at which a decode engine has capacity for the request; empty if there is no prediction.
 std::optional<MonotonicTime> CellScheduler::earliest_capacity(PlacementAsk const& ask, MonotonicTime now) const
 {
     std::optional<MonotonicTime> earliest;
@@ -412,7 +413,7 @@
     return earliest;
 }
 
-// Whether the engine may do a part of the request now, room and queues aside.
+// Whether the engine is eligible for a part of the request, regardless of its capacity and queue.
 bool CellScheduler::may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const
 {
     auto const& description = engine.description;
@@ -451,7 +452,8 @@
     return count > 0 ? sum / count : this->options.initial_step_time;
 }
 
-// Each look at a waiting request compares it with all engines, so it is worked out once, for a usual one.
+// Computed once per request for an average engine, since every scheduling pass compares each waiting request with all
+// engines.
 MemoryForecast const& CellScheduler::forecast_of(PlacementAsk const& ask) const
 {
     auto const found = this->ask_forecasts.find(ask.request);
@@ -464,7 +466,7 @@
 
 MemoryForecast const& CellScheduler::forecast_of(Engine const& engine, MonotonicTime now) const
 {
-    // Within a part of a step the forecast stays good.
+    // The forecast is reused within a fraction of a step.
     constexpr Duration VALIDITY = MemoryForecast::STEP / 8;
     if (engine.forecast && now - engine.forecast_made < VALIDITY)
         return *engine.forecast;
@@ -477,7 +479,7 @@
         bool const is_decoding = running.phase == GrantProgress::Decoding;
         double const made = is_decoding ? to_seconds(now - running.decode_from) / std::max(1e-6, to_seconds(engine.step_time)) : 0;
         auto answer = this->answer_forecast(running.ask, made);
-        // One that outlived its caller's limit by our reckoning is about to end.
+        // An answer that has exceeded its limit by this estimate is about to end.
         answer.generated_tokens = std::min(answer.generated_tokens, answer.maximum_tokens - 1);
         forecast.add(answer, engine.step_time);
     }
@@ -517,7 +519,7 @@
     return this->find_decode(ask, std::move(placement), now);
 }
 
-// Engines whose memory counts are compared by that, and those of the asking VM's data centre are preferred.
+// Engines with known memory are ranked by free memory, with a preference for the data centre of the requesting VM.
 std::int64_t CellScheduler::capacity_score(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const
 {
     auto const memory = static_cast<double>(engine.description.memory_tokens);
@@ -555,7 +557,7 @@
         auto const found = this->granted.find(request);
         if (found == this->granted.end() || found->second.phase != GrantProgress::Decoding)
             continue;
-        // A request that outlived its prediction says nothing of when it ends.
+        // The end of a request that exceeded its predicted length cannot be predicted.
         auto const release = this->predicted_release(found->second);
         if (release > now && release <= when)
             ++count;
@@ -595,7 +597,7 @@
     granted.predicted_first_token = placement.first_token;
     auto& decode = this->engines.find(placement.decode)->second;
     auto& reader = prefill != this->engines.end() ? prefill->second : decode;
-    // What is read of a cached prompt says nothing of the pace.
+    // The prefill of a cached prompt is no measure of the prefill rate.
     bool const is_cached = placement.tokens < ask.prompt_tokens + ask.relayed_tokens;
     reader.prefills.push_back({ ask.request, placement.tokens, now, is_cached || !reader.prefills.empty() });
     this->hold_slot(decode, ask.request);
@@ -614,7 +616,7 @@
     this->granted.emplace(request, std::move(granted));
 }
 
-// When the backlog of the model's prefill engines is worked off, as far as is known.
+// Estimated time until the backlog of the model's prefill engines is processed.
 Duration CellScheduler::expected_wait(std::string const& model, MonotonicTime now) const
 {
     double rate = 0;
