--- a/Libraries/LibDecision/AnswerDurationEstimator.h
+++ b/Libraries/LibDecision/AnswerDurationEstimator.h
@@ -14,10 +14,10 @@
 
 namespace Spurtide {
 
-/// How long answers of a service take, from those that ended whole on this VM.
+/// Estimates how long the answers of a service take, from those that completed on this VM.
 class AnswerDurationEstimator {
 public:
-    /// Takes the time from an answer's first event to its last and its tokens.
+    /// Adds the time from an answer's first event to its last, and its number of tokens.
     void add_sample(std::string_view service, std::int64_t tokens, Duration duration)
     {
         if (tokens < MINIMUM_TOKENS || duration <= Duration::zero())
@@ -30,8 +30,8 @@
             found->second += SMOOTHING * (sample - found->second);
     }
 
-    /// The time within which nine in ten answers end of which so many tokens are expected in the median; empty before
-    /// any was seen. The spread is the standard deviation of the logarithm of lengths against what was expected.
+    /// The 90th percentile of the duration of answers with the given median length; empty if there are no samples. The
+    /// spread is the standard deviation of the logarithm of the ratio of actual to expected length.
     std::optional<Duration> percentile_90(std::string_view service, std::int64_t expected_tokens, std::int64_t maximum_tokens, double spread) const
     {
         auto const found = this->seconds_per_token.find(service);
@@ -43,9 +43,9 @@
     }
 
 private:
-    /// Fewer say too little of a pace.
+    /// Shorter answers are too noisy to estimate the time per token.
     static constexpr std::int64_t MINIMUM_TOKENS = 8;
-    /// Some ten answers back: paces change with how full engines are.
+    /// Weights roughly the last ten answers, because the time per token varies with the load of the engines.
     static constexpr double SMOOTHING = 0.2;
     /// Standard deviations above the median.
     static constexpr double PERCENTILE_90_DEVIATIONS = 1.28;
--- a/Libraries/LibDecision/CellMap.cpp
+++ b/Libraries/LibDecision/CellMap.cpp
@@ -20,7 +20,7 @@
 
 std::string cell_name(std::size_t cell) { return "cell-" + std::to_string(cell); }
 
-/// Gives each cell to the VM with the highest score among those that keep no more cells than others.
+/// Assigns each cell to the VM with the highest rendezvous score among those that do not keep a cell yet.
 std::vector<std::string> choose_keepers(std::size_t cells, std::span<std::string const> virtual_machines)
 {
     std::vector<std::string> available(virtual_machines.begin(), virtual_machines.end());
--- a/Libraries/LibDecision/CellMap.h
+++ b/Libraries/LibDecision/CellMap.h
@@ -13,18 +13,18 @@
 
 namespace Spurtide {
 
-/// An engine as far as its cell is concerned.
+/// An engine that is assigned to a cell.
 struct CellMember {
     std::string name;
-    /// Model and role together; each cell gets a balanced share of every kind.
+    /// Model and role. Engines of each kind are distributed evenly over the cells.
     std::string kind;
 };
 
-/// Parts a data centre's engines into cells and names the VM that keeps each. The same lists give
-/// the same map on every VM.
+/// Partitions the engines of a data centre into cells and assigns a keeper VM to each cell by rendezvous hashing. The
+/// result depends only on the two lists, so all VMs compute the same map.
 class CellMap {
 public:
-    /// Engines a cell should hold at the least.
+    /// Minimum number of engines per cell.
     static constexpr std::size_t ENGINES_PER_CELL = 24;
 
     static CellMap create(std::span<CellMember const> engines, std::span<std::string const> virtual_machines);
@@ -46,7 +46,7 @@
     std::vector<Assignment> assignments;
 };
 
-/// A stable score of a pair of names; the highest score wins a rendezvous.
+/// A stable score of a pair of names for rendezvous hashing; the pair with the highest score is chosen.
 std::uint64_t rendezvous_score(std::string_view left, std::string_view right);
 
 }
--- a/Libraries/LibDecision/ColdUpstreamSchedule.cpp
+++ b/Libraries/LibDecision/ColdUpstreamSchedule.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Upstreams are cold for seconds; what is remembered of more of them is of the past.
+/// Upstreams are cold only for seconds, so with more entries most of them are outdated.
 constexpr std::size_t MAXIMUM_TRACKED_UPSTREAMS = 1024;
 constexpr double MINIMUM_RATE = 0.01;
 
@@ -20,7 +20,7 @@
     auto const count = static_cast<std::int64_t>(std::max<std::size_t>(1, machines.count));
     Turn turn;
     turn.period = std::max(Duration { 1 }, from_seconds(static_cast<double>(count) / std::max(MINIMUM_RATE, rate)));
-    // Upstreams that are cold together have their turns at different times.
+    // Offsets the turns of upstreams that are cold at the same time.
     auto const phase_offset = XXH3_64bits(upstream.data(), upstream.size()) % static_cast<std::uint64_t>(turn.period.count());
     auto const vm_offset = turn.period * static_cast<std::int64_t>(machines.rank) / count;
     auto const elapsed = time_of_day + Duration(static_cast<std::int64_t>(phase_offset)) - vm_offset;
--- a/Libraries/LibDecision/ColdUpstreamSchedule.h
+++ b/Libraries/LibDecision/ColdUpstreamSchedule.h
@@ -12,17 +12,18 @@
 
 namespace Spurtide {
 
-/// This VM's part of the requests that upstreams bear while they are cold, without asking anybody: each VM has a turn at
-/// each upstream once in the time in which the upstream bears a request of every VM, and sends one request in a turn. Turns
-/// that were not used lapse, so that VMs which were idle do not send all together.
+/// Limits the request rate of all VMs to cold upstreams by time division, without coordination. The period is the time
+/// in which the upstream accepts one request from every VM; in each period, a VM has one turn per upstream and may send
+/// one request in it. Unused turns lapse, so that idle VMs do not send all at once later.
 ///
-/// Turns follow each other by the time of day, which all VMs have within some milliseconds. Where it jumps a VM has its turn
-/// beside another's for a while: with turns at times drawn by lot instead, 350 VMs sent a cold upstream 12 requests in a
-/// second where 11 were allowed.
+/// Turns are derived from the time of day, which VMs agree on to within milliseconds. A clock jump makes a VM's turns
+/// overlap with another's for a while. Random turns are not sufficient: with them, 350 VMs sent a cold upstream 12
+/// requests in a second where 11 were allowed.
 class ColdUpstreamSchedule {
 public:
     struct Options {
-        /// How long a turn lasts. Within a second all VMs together send what an upstream bears in that time and in this.
+        /// Length of a turn. Within any second, all VMs together send at most what the upstream accepts in one second
+        /// plus one turn.
         Duration turn = milliseconds(250);
     };
 
@@ -31,10 +32,10 @@
     {
     }
 
-    /// Time until this VM may send to the upstream, which bears so many requests a second; zero where it may now.
-    /// The time is that of day, since the epoch.
+    /// Time until this VM may send to an upstream that accepts the given rate in requests per second; zero if it may
+    /// send now. The time of day counts from the Unix epoch.
     Duration time_until_turn(std::string_view upstream, double rate, SendingMachines const& machines, Duration time_of_day) const;
-    /// Uses up the present turn.
+    /// Marks the current turn as used.
     void note_sent(std::string_view upstream, double rate, SendingMachines const& machines, Duration time_of_day);
 
 private:
--- a/Libraries/LibDecision/DeadOriginTracker.h
+++ b/Libraries/LibDecision/DeadOriginTracker.h
@@ -12,11 +12,11 @@
 
 namespace Spurtide {
 
-/// Origins of grants that no live process has any more, and since when. One that is missing for a moment only may
-/// be new, with the news of it still on its way. Pure: time is passed in.
+/// Tracks origins of grants that do not belong to a live process. An origin that is missing only briefly may be a new
+/// process whose announcement has not arrived yet. Performs no I/O; the current time is an argument.
 class DeadOriginTracker {
 public:
-    /// Those that were missing for longer than the grace time; each is named once.
+    /// Returns the origins that have been missing for longer than the grace period, each of them once.
     std::vector<std::string> take_dead(std::set<std::string> const& origins, std::function<bool(std::string const& origin)> const& is_live, Duration grace, MonotonicTime now)
     {
         std::vector<std::string> dead;
--- a/Libraries/LibDecision/EngineSubset.cpp
+++ b/Libraries/LibDecision/EngineSubset.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// More engines than there are.
+/// Enough to include every engine of any deployment.
 constexpr std::size_t MAXIMUM_DOUBLINGS = 16;
 
 struct Ranked {
--- a/Libraries/LibDecision/EngineSubset.h
+++ b/Libraries/LibDecision/EngineSubset.h
@@ -14,7 +14,7 @@
 
 namespace Spurtide {
 
-/// An engine as far as the choice of a subset goes.
+/// An engine that may be selected for the subset.
 struct SubsetCandidate {
     std::string_view identity;
     std::string_view model;
@@ -26,14 +26,14 @@
         = Life::Serving;
 };
 
-/// The engines that a keeper works with: of each model some in each data centre, and more once these are not enough. The
-/// others cost nothing: they are not looked at with each request, keep no connections, and get no orders. The choice
-/// follows from the engines' names alone, so that a keeper goes on with the engines of the one before.
+/// The subset of engines that a keeper uses: a number of each model in each data centre, which grows on demand. Other
+/// engines cause no load, since they are not considered for requests, hold no connections and receive no orders. The
+/// selection depends only on the engines' identities, so a new keeper selects the same engines as its predecessor.
 class EngineSubset {
 public:
     struct Options {
-        /// Engines of a model in each data centre at first. With half of them gone at once and all other data centres cut
-        /// off there are still several of each role.
+        /// Initial number of engines of a model per data centre. Leaves several engines of each role if half of them
+        /// fail while all other data centres are unreachable.
         std::size_t engines_per_data_centre = 32;
     };
 
@@ -42,15 +42,15 @@
     {
     }
 
-    /// Indexes of those that belong to it, rising. One that leaves does not take another's place.
+    /// Returns the indices of the selected engines in ascending order. Leaving engines do not count towards the limit.
     std::vector<std::size_t> choose(std::span<SubsetCandidate const> candidates);
-    /// Whether the last choice left some of the model out.
+    /// Whether the last selection excluded engines of the model.
     bool is_partial(std::string_view model) const { return this->partial_models.contains(model); }
-    /// The same of any model.
+    /// Whether the last selection excluded engines of any model.
     bool is_partial() const { return !this->partial_models.empty(); }
-    /// Makes the next choice twice as large for the model.
+    /// Doubles the limit of the model for the next selection.
     void grow(std::string_view model);
-    /// Has the engine in each choice from now on: it was given work by another keeper.
+    /// Includes the engine in every further selection because another keeper has assigned work to it.
     void pin(std::string_view identity) { this->pinned.emplace(identity); }
     bool is_pinned(std::string_view identity) const { return this->pinned.contains(identity); }
 
--- a/Libraries/LibDecision/LeaseTerm.cpp
+++ b/Libraries/LibDecision/LeaseTerm.cpp
@@ -33,7 +33,7 @@
         this->unchanged_since = now;
     this->last_row = row;
     bool const is_own = row && row->holder == this->holder_name;
-    // A write whose answer was lost took effect. Its term began when it was sent, or later.
+    // A write whose answer was lost took effect. Its term is counted from when it was sent.
     if (is_own && row->version != this->token)
         this->note_written(row->version, now);
 }
--- a/Libraries/LibDecision/LeaseTerm.h
+++ b/Libraries/LibDecision/LeaseTerm.h
@@ -10,57 +10,57 @@
 
 namespace Spurtide {
 
-/// The one row that says who may give orders, as the platform keeps it.
+/// The row in the platform's store that names the lease holder.
 struct LeaseRow {
     std::string holder;
-    /// Rises with each write to the row.
+    /// Increases with each write to the row.
     std::int64_t version = 0;
 };
 
-/// One process's part in a lease that is kept as a row of the platform's store and changed by conditional
-/// writes alone. Pure: time is passed in, and whoever owns it reads and writes the row.
+/// Tracks one process's participation in a lease that is stored as a row and changed only by conditional writes.
+/// Performs no I/O: the owner passes in the time and reads and writes the row.
 ///
-/// A holder counts its term from before its write was sent, and ends it a margin early. Another process takes
-/// the row only after it saw it unchanged for two terms by its own clock, so that some time lies between the
-/// last order of one holder and the first of the next, also where a holder was paused.
+/// The holder counts its term from before the write was sent and gives it up a margin early. Another process takes the
+/// row only after observing it unchanged for two terms on its own clock. This leaves a gap between the last order of
+/// one holder and the first order of the next, even if the holder was paused.
 class LeaseTerm {
 public:
     struct Options {
-        /// How long one write is good for.
+        /// How long a write is valid.
         Duration length = seconds(3);
-        /// The holder stops so much earlier; covers what its last order takes to arrive.
+        /// How much earlier the holder stops; covers the time until its last order arrives.
         Duration margin = milliseconds(800);
     };
 
     enum class Step {
         /// The lease is held for long enough.
         Use,
-        /// Read the row: nothing is known of it, or a write is in doubt.
+        /// Read the row: its state is unknown or a write is in doubt.
         Read,
-        /// Write the row, on condition of expected_version().
+        /// Write the row conditionally on expected_version().
         Write,
-        /// Another process holds it.
+        /// Another process holds the lease.
         Wait,
     };
 
-    /// The holder's name is that of one start of one process.
+    /// The holder's name identifies one incarnation of a process.
     LeaseTerm(Options options, std::string holder);
 
-    /// What has to be done to hold the lease from now until some time from now.
+    /// The next step needed to hold the lease from now on for the given duration.
     Step next_step(MonotonicTime now, Duration needed) const;
-    /// Version that a write has to find; 0 stands for no row.
+    /// The version required by a conditional write; 0 if the row must not exist.
     std::int64_t expected_version() const { return this->last_row ? this->last_row->version : 0; }
     std::string const& holder() const { return this->holder_name; }
 
     void note_read(std::optional<LeaseRow> const& row, MonotonicTime now);
-    /// Call just before a write is sent.
+    /// Must be called before a write is sent.
     void note_write_sent(MonotonicTime now);
     void note_written(std::int64_t version, MonotonicTime now);
-    /// The write was refused, or its answer is lost; the row has to be read.
+    /// The write was rejected or its answer was lost, so the row has to be read again.
     void note_write_failed() { this->is_row_known = false; }
 
     bool is_held(MonotonicTime now) const { return this->held_until && now < *this->held_until; }
-    /// Names the term to engines: never lower than that of an earlier holder.
+    /// Identifies the term to engines; never lower than the token of an earlier holder.
     std::int64_t fence() const { return this->token; }
 
 private:
--- a/Libraries/LibDecision/MemoryForecast.cpp
+++ b/Libraries/LibDecision/MemoryForecast.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A logistic curve of this slope is within 0.01 of the normal distribution.
+/// A logistic curve with this slope approximates the normal distribution to within 0.01.
 constexpr double LOGISTIC_SLOPE = 1.702;
 
 double upper_tail(double length, double median, double spread)
--- a/Libraries/LibDecision/MemoryForecast.h
+++ b/Libraries/LibDecision/MemoryForecast.h
@@ -10,33 +10,33 @@
 
 namespace Spurtide {
 
-/// An answer that an engine makes or will make, as far as its memory is concerned.
+/// The expected memory use of a running or future answer.
 struct AnswerForecast {
-    /// What it holds before the first token of the answer.
+    /// Tokens held before the first output token.
     double prompt_tokens = 0;
-    /// Tokens made so far.
+    /// Output tokens generated so far.
     double generated_tokens = 0;
-    /// The median of what is expected in all.
+    /// Median of the expected total length.
     double expected_tokens = 1;
-    /// It never has more.
+    /// Upper bound of the total length.
     double maximum_tokens = 1;
 };
 
-/// What an engine's memory will probably hold over the next seconds. An answer takes memory as it grows and
-/// gives all of it back when it ends; lengths are spread about their medians as log-normal ones are.
+/// Forecasts the memory use of an engine over the next seconds. An answer's memory grows with each token and is freed
+/// when it ends; lengths are modelled as log-normally distributed around their median.
 class MemoryForecast {
 public:
     static constexpr std::size_t STEPS = 32;
     static constexpr Duration STEP = milliseconds(200);
 
     struct Options {
-        /// Standard deviation of the logarithm of a length against what was expected.
+        /// Standard deviation of the logarithm of the ratio of actual to expected length.
         double spread = 0.6;
-        /// Standard deviations of the sum that have to fit beside what is expected, so that answers which turn out
-        /// longer are not put back in the middle. Little where prompts are most of the memory, since those are
-        /// known; much where answers are.
+        /// Number of standard deviations of the total that are reserved on top of the expected use, so that answers
+        /// that grow longer than expected are not preempted. Has little effect where memory is mostly used by prompts,
+        /// whose length is known, and more where it is used by answers.
         double deviations = 0;
-        /// Part by which the tokens made so far may be more than reckoned from the pace.
+        /// Fraction by which the actual number of generated tokens may exceed the estimate from the step time.
         double progress_error = 0;
     };
 
@@ -46,14 +46,15 @@
     {
     }
 
-    /// Adds an answer that is made at the given pace.
+    /// Adds an answer that is generated at the given time per token.
     void add(AnswerForecast const& answer, Duration per_token);
-    /// Whether another forecast, begun after a delay, fits so many times beside this one into so much memory.
+    /// Whether the given number of copies of another forecast, started after a delay, fits into the memory next to this
+    /// one.
     bool has_capacity_for(MemoryForecast const& other, Duration delay, double memory_tokens, double count = 1) const;
-    /// The shortest delay after which it fits; the horizon's end where none is seen.
+    /// The shortest delay after which the other forecast fits; the end of the horizon if there is none.
     Duration shortest_delay(MemoryForecast const& other, double memory_tokens) const;
     double tokens_at(std::size_t step) const { return this->tokens.at(step); }
-    /// The most that is held at any time that is seen.
+    /// Maximum expected use within the horizon.
     double peak() const;
 
 private:
@@ -62,11 +63,11 @@
     Options options {};
     std::array<double, STEPS> tokens {};
     std::array<double, STEPS> variance {};
-    /// The part of it that the answers' own tokens are.
+    /// The part of the expected use that consists of output tokens.
     std::array<double, STEPS> answer_tokens {};
 };
 
-/// The probability that an answer that has come so far goes on beyond a length.
+/// The probability that an answer that has reached its current length exceeds the given length.
 double probability_of_exceeding(double length, AnswerForecast const& answer, double spread);
 
 }
--- a/Libraries/LibDecision/OrphanReaper.h
+++ b/Libraries/LibDecision/OrphanReaper.h
@@ -15,16 +15,16 @@
 
 namespace Spurtide {
 
-/// Finds work that an engine holds for nobody. Work is cancelled only when its origin disowned it,
-/// or when the origin's incarnation is dead and no reader has taken the stream for a grace time.
+/// Finds requests that an engine holds for no one. A request is only cancelled if its origin disowned it, or if the
+/// origin's incarnation is dead and no reader has been attached for a grace period.
 class OrphanReaper {
 public:
     struct Options {
-        /// Time for a caller to come back, through another VM, for the work of a dead origin.
+        /// Time for callers to resume the requests of a dead origin through another VM.
         Duration dead_origin_grace = seconds(2);
-        /// Time before an origin is asked about work that the keeper did not grant.
+        /// Delay before an origin is queried about a request that this keeper did not grant.
         Duration question_delay = seconds(1);
-        /// Time between two questions about the same work.
+        /// Interval between queries about the same request.
         Duration question_interval = seconds(1);
     };
 
@@ -50,10 +50,10 @@
         std::vector<Cancellation> cancellations;
     };
 
-    /// Takes one engine's whole list of held work.
+    /// Processes the complete list of requests held by an engine.
     Findings observe(std::string_view engine, std::span<HeldWork const> held, std::function<bool(std::string_view origin)> const& is_alive, MonotonicTime now);
 
-    /// The origin said that the work is not its own any more.
+    /// Records that the origin no longer owns the request.
     void note_disowned(std::string_view engine, std::string_view request);
 
 private:
@@ -65,7 +65,7 @@
 
     struct Watch {
         MonotonicTime first_seen;
-        /// Since when the origin has been dead and nobody has read.
+        /// Since when the origin has been dead and no reader has been attached.
         std::optional<MonotonicTime> orphaned_since;
         std::optional<MonotonicTime> asked_at;
         bool disowned = false;
--- a/Libraries/LibDecision/PrefillRateEstimator.cpp
+++ b/Libraries/LibDecision/PrefillRateEstimator.cpp
@@ -24,7 +24,7 @@
         this->learned_rate = this->rate() + INITIAL_SMOOTHING * (length / time - this->rate());
 }
 
-// The line of least squares through times over lengths; through the origin where lengths tell too little.
+// Least-squares fit of duration over length; a line through the origin if the lengths do not vary enough.
 void PrefillRateEstimator::fit()
 {
     auto const mean_tokens = this->tokens_sum / this->samples;
@@ -33,7 +33,7 @@
     auto const covariance = this->product_sum / this->samples - mean_tokens * mean_seconds;
     bool const is_latency_separable = variance > 0 && std::sqrt(variance) > MINIMUM_RELATIVE_DEVIATION * mean_tokens && covariance > 0;
     auto const slope_through_origin = mean_seconds / mean_tokens;
-    // A latency is never negative: lengths that take more than their share tell a rate alone.
+    // Latency is never negative, so the slope is bounded by that of a line through the origin.
     auto const slope = is_latency_separable ? std::min(covariance / variance, slope_through_origin) : slope_through_origin;
     this->learned_rate = 1 / slope;
     this->learned_latency = from_seconds(std::max(0.0, mean_seconds - slope * mean_tokens));
--- a/Libraries/LibDecision/PrefillRateEstimator.h
+++ b/Libraries/LibDecision/PrefillRateEstimator.h
@@ -8,36 +8,37 @@
 
 namespace Spurtide {
 
-/// How fast engines of one model read prompts, learned from what they took. A prompt keeps its engine busy for its
-/// tokens at a rate; its result comes a fixed latency later, during which the engine reads the next one.
-/// Taking the latency for reading time would make a queue of prompts look half as long again as it is.
+/// Estimates the prefill rate and result latency of the engines of a model. A prompt occupies its engine for a time
+/// proportional to its tokens; the result arrives a fixed latency later, while the engine already processes the next
+/// prompt. Counting the latency as compute time would overestimate the delay of a queue by half.
 class PrefillRateEstimator {
 public:
-    /// Tokens a second, before anything was measured.
+    /// The rate in tokens per second used until it has been measured.
     explicit PrefillRateEstimator(double initial_rate)
         : initial_rate(initial_rate)
     {
     }
 
-    /// A prompt that waited for no other took so long, from its sending to its result.
+    /// Adds the duration of a prefill that was not queued, from the request to the result.
     void add_sample(std::int64_t tokens, Duration duration);
 
-    /// Time that the engine is busy with so many tokens.
+    /// Time for which the engine is busy with the given number of tokens.
     Duration compute_time(std::int64_t tokens) const;
-    /// From the end of the reading to the result.
+    /// Delay from the end of the computation to the result.
     Duration latency() const { return this->learned_latency; }
-    /// Tokens a second.
+    /// Tokens per second.
     double rate() const { return this->learned_rate > 0 ? this->learned_rate : this->initial_rate; }
     bool is_known() const { return this->samples >= MINIMUM_SAMPLES; }
 
 private:
-    /// Fewer do not tell a rate from a latency.
+    /// Fewer samples cannot separate rate and latency.
     static constexpr double MINIMUM_SAMPLES = 4;
-    /// Before that, each moves the rate by this part of its distance: one prompt that was held up must not stand for all.
+    /// Smoothing factor of the rate before that, so that a single delayed prompt does not dominate the estimate.
     static constexpr double INITIAL_SMOOTHING = 0.2;
-    /// Part of the earlier samples' weight that is left with each new one: engines' versions change.
+    /// Weight kept by earlier samples with each new one, so that the estimate follows changes of the engine version.
     static constexpr double DECAY = 0.97;
-    /// Lengths that differ by less than this part of their mean (standard deviation) tell only the two together.
+    /// Rate and latency cannot be separated if the standard deviation of the lengths is below this fraction of their
+    /// mean.
     static constexpr double MINIMUM_RELATIVE_DEVIATION = 0.1;
 
     void fit();
--- a/Libraries/LibDecision/QuantileEstimator.h
+++ b/Libraries/LibDecision/QuantileEstimator.h
@@ -8,10 +8,10 @@
 
 namespace Spurtide {
 
-/// Follows one quantile of a drifting series by stochastic approximation, in constant memory.
+/// Tracks a quantile of a drifting series by stochastic approximation in constant memory.
 class QuantileEstimator {
 public:
-    /// The quantile is in (0, 1); the first estimate stands until samples move it.
+    /// The quantile is in (0, 1). The first estimate is returned until samples are added.
     QuantileEstimator(double quantile, double first_estimate)
         : quantile(quantile)
         , current(first_estimate)
@@ -21,7 +21,7 @@
     void add(double sample)
     {
         ++this->samples;
-        // The step is a share of the estimate, so that series of any scale are followed as fast.
+        // The step is proportional to the estimate, so that convergence does not depend on the scale of the series.
         double const share = std::max(0.02, 0.5 / static_cast<double>(this->samples));
         double const step = std::max(1.0, this->current) * share;
         this->current += sample > this->current ? step * this->quantile : -step * (1 - this->quantile);
--- a/Libraries/LibDecision/RefusalHistory.h
+++ b/Libraries/LibDecision/RefusalHistory.h
@@ -11,29 +11,30 @@
 
 namespace Spurtide {
 
-/// What stays the same of a request when its caller comes back with it under a new name.
+/// Properties that identify a request when its caller retries it under a new identifier.
 struct RequestTraits {
     std::string_view account;
     std::string_view model;
-    /// The part of the prompt that no other session has.
+    /// Identifies the part of the prompt that is unique to the session.
     std::string_view own_part;
     std::int64_t prompt_tokens = 0;
     std::int64_t maximum_output_tokens = 0;
     std::int64_t expected_output_tokens = 0;
 };
 
-/// Remembers requests that were refused, so that callers who come back are told from those who come for the first
-/// time, and are measured from their first visit as they measure it themselves.
+/// Remembers refused requests in order to detect callers that retry. The latency of a retry is measured from the first
+/// attempt, as callers do.
 ///
-/// The time that a caller is willing to wait does not tell: callers differ in patience by more than a short absence
-/// takes, and a router that took the less patient for returns treated three of four first visits as late.
+/// The caller's remaining patience cannot be used to detect retries, because it varies more between callers than the
+/// delay of a retry takes: a router that classified impatient callers as retries treated three of four first attempts
+/// as late.
 class RefusalHistory {
 public:
-    /// The request was refused; by the deadline of its first token it wanted to be served, and until the last time its
-    /// caller may come back with it.
+    /// Records the refusal of a request with the given first token deadline. The caller may retry it until the given
+    /// time.
     void note_refused(RequestTraits const& traits, MonotonicTime first_token_deadline, MonotonicTime retry_until);
 
-    /// The first token's deadline of the first visit, where this is a return; each refusal answers for one.
+    /// Returns the first token deadline of the first attempt if the request is a retry. Each refusal matches one retry.
     std::optional<MonotonicTime> take_matching_refusal(RequestTraits const& traits, MonotonicTime now);
 
     void remove_expired(MonotonicTime now);
@@ -45,7 +46,7 @@
         MonotonicTime retry_until;
     };
 
-    /// By a hash of the traits: two requests that are alike in all of them within seconds are one.
+    /// Keyed by a hash of the traits. Requests with identical traits within seconds are treated as the same request.
     std::multimap<std::uint64_t, Refused> refused;
 };
 
--- a/Libraries/LibDecision/RequestState.cpp
+++ b/Libraries/LibDecision/RequestState.cpp
@@ -17,7 +17,7 @@
 
 using enum RequestPhase;
 
-// A plain service call goes Admitted -> Decoding by Dispatch: it has no prefill and no transfer.
+// A plain service call has neither prefill nor transfer and goes from Admitted to Decoding by Dispatch.
 constexpr std::array TRANSITIONS = {
     Transition { Received, RequestEvent::Admit, Admitted },
     Transition { Received, RequestEvent::Refuse, Refused },
@@ -45,7 +45,7 @@
     Transition { Decoding, RequestEvent::LoseUpstream, Admitted },
     Transition { Decoding, RequestEvent::CallerLeft, Cancelled },
     Transition { Decoding, RequestEvent::GiveUp, Failed },
-    // A request that ran before and cannot be placed again is given up, never refused as not run.
+    // A request that was executed before and cannot be placed again fails; it is never refused as not run.
     Transition { Admitted, RequestEvent::GiveUp, Failed },
     Transition { SlotPromised, RequestEvent::GiveUp, Failed },
 };
@@ -59,7 +59,7 @@
 
 Result<RequestPhase, TransitionError> RequestState::apply(RequestEvent event)
 {
-    // "Not run" would be false after a dispatch, whatever the phase says.
+    // After a dispatch "not run" would be wrong in any phase.
     if (event == RequestEvent::Refuse && this->dispatched)
         return Failure { TransitionError { this->current, event } };
     auto const matches = [&](Transition const& transition) { return transition.from == this->current && transition.event == event; };
--- a/Libraries/LibDecision/RequestState.h
+++ b/Libraries/LibDecision/RequestState.h
@@ -8,7 +8,7 @@
 
 namespace Spurtide {
 
-/// Where one request stands. Terminal phases are Finished, Refused, Cancelled and Failed.
+/// The phase of a request. Finished, Refused, Cancelled and Failed are terminal.
 enum class RequestPhase {
     Received,
     Admitted,
@@ -23,7 +23,7 @@
     Failed,
 };
 
-/// What can happen to a request.
+/// Events that change the phase of a request.
 enum class RequestEvent {
     Admit,
     PromiseSlot,
@@ -39,7 +39,7 @@
     Dispatch,
 };
 
-/// What a caller is told in the end. Decided by the state table alone.
+/// The result reported to the caller, determined only by the state table.
 enum class RequestOutcome {
     Pending,
     Answered,
@@ -48,7 +48,7 @@
     Cancelled,
 };
 
-/// An event that the table does not allow in a phase.
+/// An event that is not allowed in the current phase.
 struct TransitionError {
     RequestPhase phase;
     RequestEvent event;
@@ -58,16 +58,16 @@
 std::string_view to_string(RequestEvent event);
 std::string_view to_string(RequestOutcome outcome);
 
-/// The state of one request, from arrival to its final answer.
+/// The state of a request, from arrival to its final answer.
 class RequestState {
 public:
-    /// Moves to the next phase, or says that the event cannot happen now and changes nothing.
+    /// Applies the event. Returns an error and leaves the state unchanged if the event is not allowed in this phase.
     Result<RequestPhase, TransitionError> apply(RequestEvent event);
 
     RequestPhase phase() const { return this->current; }
     bool is_terminal() const;
 
-    /// True once anything may have left for an upstream.
+    /// Whether anything may have been sent to an upstream.
     bool was_dispatched() const { return this->dispatched; }
 
     RequestOutcome outcome() const;
--- a/Libraries/LibDecision/RetryPolicy.cpp
+++ b/Libraries/LibDecision/RetryPolicy.cpp
@@ -33,7 +33,7 @@
     case SendOutcome::NotExecuted:
         if (may_send && (is_repeatable || !ran_before))
             return NextStep::SendElsewhere;
-        // A refusal says that the request has not run, of one that may be repeated as well.
+        // A refusal promises that the request was not executed, also for repeatable requests.
         return ran_before ? NextStep::FailMayHaveRun : NextStep::RefuseNotRun;
     case SendOutcome::Lost:
         return is_repeatable && may_send ? NextStep::SendElsewhere : NextStep::FailMayHaveRun;
--- a/Libraries/LibDecision/RetryPolicy.h
+++ b/Libraries/LibDecision/RetryPolicy.h
@@ -8,45 +8,45 @@
 
 namespace Spurtide {
 
-/// How a send to an upstream ended, as far as can be told.
+/// The outcome of sending a request to an upstream.
 enum class SendOutcome {
-    /// No connection came up: nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not execute the request.
     NotExecuted,
-    /// A whole, signed answer.
+    /// A complete, signed answer.
     Success,
-    /// The upstream's own failure, signed or not.
+    /// The upstream reported a failure, signed or not.
     OwnFailure,
-    /// Sent, and what came back was nothing, broken off, or not this request's answer.
+    /// The request was sent, but the answer is missing, truncated or belongs to another request.
     Lost,
 };
 
-/// What to do with a request after one of its sends ended.
+/// What to do with a request after a send has ended.
 enum class NextStep {
-    /// Hand the upstream's answer on.
+    /// Relay the upstream's answer.
     Relay,
-    /// Send it to another upstream.
+    /// Send the request to another upstream.
     SendElsewhere,
-    /// Tell the caller that it has not run, and when to come back.
+    /// Report that the request was not executed and when to retry.
     RefuseNotRun,
-    /// Tell the caller that it may have run.
+    /// Report that the request may have been executed.
     FailMayHaveRun,
 };
 
 std::string_view to_string(SendOutcome end);
 std::string_view to_string(NextStep step);
 
-/// What is known of a request when a send ended.
+/// What is known about a request when a send ends.
 struct SendHistory {
     RouteKind kind = RouteKind::Repeatable;
-    /// Whether an earlier send may have run.
+    /// Whether an earlier send may have been executed.
     enum class Earlier {
         HasNotRun,
         MayHaveRun,
     } earlier
         = Earlier::HasNotRun;
-    /// Whether attempts, time and budget are left for another send.
+    /// Whether attempts, time and retry budget are left for another send.
     enum class AnotherSend {
         Allowed,
         Spent,
@@ -54,8 +54,8 @@
         = AnotherSend::Spent;
 };
 
-/// The one table that decides what follows a send. At most once: what may have run is not sent again unless
-/// it is repeatable, and is never called not run.
+/// Decides what follows a send. Guarantees at-most-once execution: a request that may have been executed is only sent
+/// again if it is repeatable, and is never reported as not run.
 NextStep next_step(SendOutcome end, SendHistory const& history);
 
 }
--- a/Libraries/LibDecision/RoleBalancer.cpp
+++ b/Libraries/LibDecision/RoleBalancer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A pool with fewer engines for each that has to stay spares none.
+/// Smaller pools keep only one engine of each role, without spares.
 constexpr std::size_t MINIMUM_POOL_WITH_SPARES = 5;
 constexpr Duration REFUSED_ORDER_BACKOFF = seconds(3);
 
@@ -44,7 +44,7 @@
     auto const step = to_seconds(capacity.step_time);
     auto const slot_seconds = this->output_sum / this->weight * step;
     auto const slot_load = slot_seconds / static_cast<double>(std::max<std::int64_t>(1, capacity.decode_slots));
-    // The prompt is held from the first token to the last, and half of the answer on average.
+    // The prompt is held until the last token, and on average half of the answer.
     auto const token_seconds = (this->prompt_output_sum + this->output_squared_sum / 2) / this->weight * step;
     auto const memory_load = capacity.memory_tokens > 0 ? token_seconds / (this->options.maximum_decode_utilization * capacity.memory_tokens) : 0.0;
     return std::max(memory_load, slot_load);
@@ -69,7 +69,8 @@
     auto const decode_throughput = decode_engines / decode_cost;
     if (decode_throughput <= prefill_engines / prefill_cost)
         return decode_throughput;
-    // Both roles are full: decode engines give what time the rest of the prompts takes.
+    // Both roles are saturated: decode engines spend their remaining time on the prompts that exceed the prefill
+    // capacity.
     auto const decode_prefill_time = this->options.decode_prefill_cost * prefill_cost;
     return (decode_engines + this->options.decode_prefill_cost * prefill_engines) / (decode_cost + decode_prefill_time);
 }
@@ -125,7 +126,7 @@
     return division;
 }
 
-// The role that should have an engine more; empty where the division is good enough.
+// The role that should get another engine; empty if the division is good enough.
 std::optional<EngineRole> RoleBalancer::role_lacking_engines(Division division, EngineCapacity const& capacity, MonotonicTime now) const
 {
     auto const total = division.prefill + division.decode;
@@ -134,7 +135,7 @@
         return {};
     if (!division.lacks_a_role()) {
         bool const is_known = this->has_enough_data(capacity);
-        // What works is left alone until it is known to be worse.
+        // A working division is kept until it is known to be worse.
         bool const is_start = !this->had_enough_data && this->is_idle(now);
         if (!is_known && !is_start)
             return {};
@@ -158,13 +159,14 @@
         return false;
     if (this->is_idle(now))
         return true;
-    // Without decode engines nothing is answered; without prefill engines decode engines read for themselves.
+    // Without decode engines no request can be answered, whereas decode engines can also run prefills.
     bool const is_urgent = division.decode == 0;
     bool const is_persistent = is_urgent || now - this->shortage->since >= this->options.minimum_shortage_duration;
     return is_persistent && this->transitions.empty() && since_last >= this->options.change_interval;
 }
 
-// The data centre that has most of the role gives one, so that each keeps some of both; there the idlest goes.
+// Takes the engine with the least work from the data centre with the most engines of the role, so that each data centre
+// keeps engines of both roles.
 RoleCandidate const* RoleBalancer::select_engine(std::span<RoleCandidate const> engines, EngineRole from) const
 {
     std::map<std::string_view, int> count_by_data_centre;
--- a/Libraries/LibDecision/RoleBalancer.h
+++ b/Libraries/LibDecision/RoleBalancer.h
@@ -13,27 +13,27 @@
 
 namespace Spurtide {
 
-/// An engine as far as its role matters.
+/// An engine whose role may be changed.
 struct RoleCandidate {
     std::string name;
     EngineRole role = EngineRole::Prefill;
-    /// Prompts that it reads or answers that it makes.
+    /// Queued prefills or running answers.
     std::int64_t work = 0;
     std::string data_centre;
-    /// Counts with its role, and gets no order: whoever cannot reach it does not know what it does.
+    /// Counts towards its role but gets no orders, since its actual state is unknown.
     bool is_failing = false;
 };
 
-/// What the engines of one model can do, each.
+/// The capacity of each engine of a model.
 struct EngineCapacity {
-    /// Prompt tokens read in a second.
+    /// Prompt tokens per second.
     double prefill_rate = 1;
-    /// Tokens of memory that answers may fill.
+    /// Memory available to answers, in tokens.
     double memory_tokens = 0;
     std::int64_t decode_slots = 1;
-    /// Time of one token of an answer.
+    /// Time per output token.
     Duration step_time = milliseconds(1);
-    /// Whether rate and time were measured at engines of the model, or stand for what nobody knows yet.
+    /// Whether the rate and the step time were measured on engines of the model or are default values.
     enum class Source {
         Assumed,
         Measured,
@@ -41,69 +41,70 @@
         = Source::Measured;
 };
 
-/// One engine is to change its role.
+/// An order to change the role of an engine.
 struct RoleChange {
     std::string engine;
     EngineRole role = EngineRole::Prefill;
 };
 
-/// Divides the engines of one model between reading prompts and making answers by what the requests of late
-/// were like. Pure: time is passed in and nothing is sent.
+/// Divides the engines of a model between the prefill and decode roles according to the recent workload. Performs no
+/// I/O; the current time is an argument.
 ///
-/// A request takes prefill engines' time for its prompt, and of a decode engine a part (of the memory or of the
-/// slots, whichever is more) for as long as its answer takes. What prefill engines cannot read decode engines read
-/// themselves, at half the pace and while their answers wait. The division that serves most requests a second is
-/// aimed at, engine by engine, where it gains enough.
+/// A request takes compute time on a prefill engine for its prompt, and a share of a decode engine (of its memory or
+/// slots, whichever is larger) for the duration of its answer. Prompts that exceed the prefill capacity are processed
+/// by decode engines at half the rate while their answers wait. The balancer moves towards the division with the
+/// highest throughput, one engine at a time, if the gain is large enough.
 ///
-/// Until enough requests were seen and engines' paces are measured, the division stays, or, before requests come, is
-/// one that is safe: few prefill engines, since decode engines can do both parts.
+/// Until enough requests have been observed and the engines' rates are measured, the division stays as it is. Before
+/// the first requests it is set to a safe default with few prefill engines, since decode engines can do both.
 class RoleBalancer {
 public:
     struct Options {
-        /// Part of the engines that read prompts while nothing is known. Since decode engines read half as fast, a pool
-        /// of nine serves at least 0.68 of what the best division serves, and one of 90 at least 0.60, worked out with
-        /// throughput() over all ratios of reading to answering.
+        /// Fraction of prefill engines while the workload is unknown. Since decode engines run prefills at half the
+        /// rate, throughput() over all ratios of prefill to decode cost gives at least 0.68 of the best division for a
+        /// pool of 9 engines, and at least 0.60 for a pool of 90.
         double initial_prefill_share = 0.2;
-        /// Requests of late that tell what requests are like.
+        /// Weight of recent requests needed to estimate the workload.
         double minimum_requests = 30;
-        /// Requests fade with this time.
+        /// Time constant of the exponential decay of past requests.
         Duration decay_time = seconds(30);
-        /// Prefill engines are not to be used beyond this: prompts that queue make their callers wait.
+        /// Target utilization of prefill engines, which limits queueing delay.
         double maximum_prefill_utilization = 0.8;
-        /// Part of decode engines' memory that is filled at best: answers end at times that nobody knows.
+        /// Target utilization of decode memory, since the end of answers cannot be predicted exactly.
         double maximum_decode_utilization = 0.8;
-        /// A decode engine's own reading takes so many times a prefill engine's, and its answers wait meanwhile.
+        /// Cost of a prefill on a decode engine relative to a prefill engine; its answers wait in the meantime.
         double decode_prefill_cost = 2;
-        /// So much more has to be served by the other division.
+        /// Minimum relative increase in throughput that justifies a change.
         double minimum_gain = 0.08;
-        /// Fewest engines of each role, in a pool that has several times as many: one may always fail.
+        /// Minimum number of engines of each role in pools that are several times larger, so that one may fail.
         std::size_t minimum_engines = 2;
-        /// While requests come, a change has to be wanted for so long (an engine that crashed may be back soon),
-        /// changes are that far apart, and longer before one is turned back.
+        /// Under load, a shortage has to last this long before a change (a crashed engine may be back soon), and
+        /// changes are separated by at least the given interval, or the longer reversal interval if they undo the last
+        /// one.
         Duration minimum_shortage_duration = seconds(5);
         Duration change_interval = seconds(2);
         Duration reversal_interval = seconds(20);
-        /// A change that did not show by then is given up; orders that are carried out late come sooner.
+        /// Changes that have not taken effect by then are abandoned. Orders that are executed late still arrive sooner.
         Duration change_timeout = seconds(25);
-        /// Engines that come up enter the list one by one, within a heartbeat of theirs. Until the pool was the same
-        /// for so long it may be a part of what there will be.
+        /// Starting engines are listed one by one, within a heartbeat of each other. Until the pool has been stable for
+        /// this long, it may be incomplete.
         Duration pool_settling_time = milliseconds(1400);
-        /// Without requests for so long, any number of engines may change at once.
+        /// If there were no requests for this long, any number of engines may change at once.
         Duration idle_after = seconds(2);
     };
 
     explicit RoleBalancer(Options options);
 
     void note_request(std::int64_t prompt_tokens, std::int64_t output_tokens, MonotonicTime now);
-    /// The next change to order, if any. Engines whose change was begun count as changed.
+    /// Returns the next change to order, if any. Engines with a pending change count towards their new role.
     std::optional<RoleChange> next_change(std::span<RoleCandidate const> engines, EngineCapacity const& capacity, MonotonicTime now);
-    /// The order for this change went out.
+    /// Records that the order for this change was sent.
     void note_ordered(RoleChange const& change, MonotonicTime now);
-    /// The order was refused; the engine is left alone for some time.
+    /// Records that the order was refused. The engine gets no further order for some time.
     void note_refused(std::string const& engine, MonotonicTime now);
     bool is_changing(std::string_view engine) const { return this->transitions.contains(engine); }
 
-    /// How many of so many engines should read prompts.
+    /// The number of prefill engines that a pool of the given size should have.
     std::size_t wanted_prefill(std::size_t engines, EngineCapacity const& capacity) const;
 
 private:
@@ -112,7 +113,7 @@
         MonotonicTime since;
     };
 
-    /// Engines by role; those whose change was begun count as changed.
+    /// Number of engines by role. Engines with a pending change count towards their new role.
     struct Division {
         std::size_t prefill = 0;
         std::size_t decode = 0;
@@ -128,11 +129,11 @@
     bool can_change_now(EngineRole to, Division division, MonotonicTime now) const;
     RoleCandidate const* select_engine(std::span<RoleCandidate const> engines, EngineRole from) const;
     void expire_transitions(std::span<RoleCandidate const> engines, MonotonicTime now);
-    /// Requests a second that so many prefill engines of all serve.
+    /// Requests per second served with the given number of prefill engines.
     double throughput(std::size_t prefill, std::size_t engines, EngineCapacity const& capacity) const;
     bool has_enough_data(EngineCapacity const& capacity) const;
     std::size_t minimum_per_role(std::size_t engines) const;
-    /// Seconds of a prefill engine, and of a decode engine, that a request takes.
+    /// Seconds of a prefill engine and of a decode engine that a request takes.
     double prefill_load(EngineCapacity const& capacity) const;
     double decode_load(EngineCapacity const& capacity) const;
 
@@ -140,19 +141,20 @@
     double weight = 0;
     double prompt_sum = 0;
     double output_sum = 0;
-    /// Of prompt times output, and of the output's square: what an answer holds grows while it is made.
+    /// Sums of prompt length times output length and of squared output length, needed because an answer's memory grows
+    /// while it is generated.
     double prompt_output_sum = 0;
     double output_squared_sum = 0;
     MonotonicTime decayed_at;
     std::optional<MonotonicTime> last_request;
-    /// Whether enough was known once: the division that came of it is not given up for the safe one.
+    /// Whether there has ever been enough data. If so, the division is never reset to the default.
     bool had_enough_data = false;
     std::map<std::string, RoleTransition, std::less<>> transitions;
     std::map<std::string, MonotonicTime, std::less<>> backoff_until;
     std::optional<RoleTransition> last_change;
     std::set<std::string, std::less<>> pool;
     MonotonicTime pool_since;
-    /// The role that has lacked engines, and since when.
+    /// The role that needs engines, and since when.
     std::optional<RoleTransition> shortage;
 };
 
--- a/Libraries/LibDecision/SendingMachines.h
+++ b/Libraries/LibDecision/SendingMachines.h
@@ -7,10 +7,10 @@
 
 namespace Spurtide {
 
-/// The VMs that may send at the same time, as one of them sees them.
+/// The VMs that may send at the same time, as seen by one of them.
 struct SendingMachines {
     std::size_t count = 1;
-    /// This VM's place among them, the same in the eyes of all.
+    /// Position of this VM among them, on which all VMs agree.
     std::size_t rank = 0;
 };
 
--- a/Libraries/LibDecision/TokenBucket.h
+++ b/Libraries/LibDecision/TokenBucket.h
@@ -9,7 +9,7 @@
 
 namespace Spurtide {
 
-/// A rate limit with a burst, in virtual time.
+/// A token bucket rate limiter. The current time is an argument of each call.
 class TokenBucket {
 public:
     TokenBucket(double tokens_per_second, double burst, MonotonicTime now)
@@ -20,7 +20,7 @@
     {
     }
 
-    /// Takes tokens if they are there.
+    /// Takes the tokens if they are available.
     bool try_take(double tokens, MonotonicTime now)
     {
         this->refill(now);
@@ -30,13 +30,13 @@
         return true;
     }
 
-    /// How long until that many tokens are there; never zero before they are.
+    /// Time until the given number of tokens is available; zero only if it is now.
     Duration time_until(double tokens, MonotonicTime now)
     {
         this->refill(now);
         if (this->level >= tokens)
             return Duration::zero();
-        // Rounded down, a part of a token that is lacking by an error of calculation would be no time at all.
+        // Rounded up, because a shortfall caused by floating point error would otherwise yield zero.
         return Duration(static_cast<std::int64_t>(std::ceil((tokens - this->level) / this->rate * 1e6)));
     }
 
