--- a/Tests/LibDecision/TestCellScheduler.cpp
+++ b/Tests/LibDecision/TestCellScheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One cell: prefill engines p0.. of 10,000 tokens/s and decode engines d0.. with a few slots.
+/// A cell with prefill engines p0, p1, ... of 10,000 tokens/s and decode engines d0, d1, ... with a few slots each.
 class Cell {
 public:
     Cell(int prefill_engines, int decode_engines, std::int64_t slots, CellScheduler::Options options = {})
@@ -45,7 +45,7 @@
         this->scheduler.ask(std::move(ask), at_milliseconds(now_milliseconds));
     }
 
-    /// "grant NAME PREFILL DECODE" and "refuse NAME REASON", since the last call.
+    /// Decisions since the last call, as "grant NAME PREFILL DECODE" or "refuse NAME REASON".
     std::vector<std::string> decisions()
     {
         std::vector<std::string> texts;
@@ -83,13 +83,14 @@
     CHECK(cell.decisions() == Texts { "grant r1 p0 d0", "grant r2 p1 d1", "grant r3 p1 d0" });
 }
 
-// Long prompts on shared links, all engines alike: a move inside a data centre takes half of one between two.
+// Guards against KV cache transfers between data centres that gain little: with identical engines and long prompts, a
+// transfer within a data centre takes half as long as one between two.
 TEST_CASE("A prompt is read in the asking VM's data centre while that costs its caller little")
 {
     struct Row {
         std::string name;
         std::string asks_from;
-        /// Prompt tokens that the home engine reads already, at 10 a millisecond.
+        /// Prompt tokens already queued at the local engine, which processes 10 per millisecond.
         std::int64_t home_busy_tokens;
         std::string reader;
     };
@@ -163,7 +164,7 @@
     cell.decisions();
     cell.ask("r1", 10'000, 100);
     cell.decode("r1", 10'020);
-    // Ten tokens at 25 ms are over at about 10.27 s; a prefill of 700 ms ends well behind that.
+    // Ten tokens at 25 ms end at about 10.27 s, well before a prefill of 700 ms does.
     cell.ask("r2", 10'030, 7000);
     CHECK(cell.decisions() == Texts { "grant r1 p0 d0", "grant r2 p0 d0" });
 }
@@ -188,7 +189,7 @@
     cell.ask("r2", 100, 4000);
     cell.scheduler.advance(at_milliseconds(500));
     CHECK(cell.decisions().empty());
-    // 400 ms of prefill and a step no longer fit before 1050 ms.
+    // 400 ms of prefill and a decode step no longer fit before 1050 ms.
     cell.scheduler.advance(at_milliseconds(640));
     CHECK(cell.decisions() == Texts { "refuse r2 cannot_meet_first_token" });
 }
@@ -292,7 +293,7 @@
         auto const request = "r" + std::to_string(now);
         cell.ask(request, now, 10);
         bool const is_granted = !cell.decisions().empty();
-        // What still waits would be the next one's trial.
+        // A request that is still waiting would become the probe of the next call.
         if (!is_granted)
             cell.scheduler.release(request, 0, at_milliseconds(now));
         return is_granted;
@@ -353,7 +354,7 @@
     cell.report_all(at_milliseconds(200));
     cell.ask("b", 200);
     CHECK(cell.decisions() == Texts { "grant b p0 d0" });
-    // The end of the one that broke off frees nothing of the other's.
+    // Releasing the request of the previous process must not free the slot of the new one.
     cell.scheduler.release("a", 10, at_milliseconds(210));
     cell.ask("c", 220);
     CHECK(cell.decisions().empty());
@@ -411,7 +412,7 @@
     second.ask("r2", 0, 100);
     CHECK(first.decisions() == Texts { "grant r1 p0 d0" });
     CHECK(second.decisions() == Texts { "grant r2 p0 d0" });
-    // Both learn of the other's work from the engine's next report, and neither forgets its own.
+    // Both keepers learn of the other's request from the next engine report and keep their own.
     EngineReport both;
     both.held = { { "r1", "entry-1", "a", HeldWork::Reader::Attached }, { "r2", "entry-2", "a", HeldWork::Reader::Attached } };
     first.scheduler.report("d0", both, at_milliseconds(50));
--- a/Tests/LibDecision/TestColdUpstreamSchedule.cpp
+++ b/Tests/LibDecision/TestColdUpstreamSchedule.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sends to one cold upstream, by all VMs whenever they may and something is there to send.
+/// A cold upstream to which all VMs with pending requests send as early as they may.
 struct ColdUpstream {
     ColdUpstream(std::size_t count, double rate)
         : rate(rate)
@@ -27,7 +27,7 @@
         for (auto at = from; at < to; at += 5) {
             for (std::size_t rank = 0; rank < this->count; ++rank) {
                 SendingMachines const place { this->count, rank };
-                // Clocks differ somewhat.
+                // Clock differences between VMs.
                 auto const time = seconds(1'700'000'000) + milliseconds(at + static_cast<std::int64_t>(rank * 7 % 13));
                 if (this->machines[rank].time_until_turn("u", this->rate, place, time) > Duration::zero())
                     continue;
@@ -56,7 +56,7 @@
 
 }
 
-// The bound is the operators': half more than the rate, and five requests.
+// The operators' limit is 1.5 times the rate plus five requests.
 TEST_CASE("All VMs together send a cold upstream no more than it bears", "[cold]")
 {
     auto const count = GENERATE(1, 8, 71, 350);
@@ -64,7 +64,7 @@
     ColdUpstream upstream(static_cast<std::size_t>(count), rate);
     upstream.run(0, 20'000);
     CHECK(static_cast<double>(upstream.most_in_a_second()) <= rate * 1.5 + 5);
-    // What it bears is used.
+    // The available rate is used.
     CHECK(static_cast<double>(upstream.sends.size()) >= 0.9 * rate * 20 - 1);
 }
 
--- a/Tests/LibDecision/TestDeadOriginTracker.cpp
+++ b/Tests/LibDecision/TestDeadOriginTracker.cpp
@@ -19,7 +19,7 @@
     SECTION("it stays away")
     {
         CHECK(gone({ "a", "b" }, 2000) == std::vector<std::string> { "b" });
-        // Named once; if it still holds grants, its time begins anew.
+        // Reported once. If the origin still holds grants, its grace period restarts.
         CHECK(gone({ "a", "b" }, 2001).empty());
     }
     SECTION("it was only new")
--- a/Tests/LibDecision/TestDecodePrefill.cpp
+++ b/Tests/LibDecision/TestDecodePrefill.cpp
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-// A burst of long prompts where reading binds: prompts of some thousand tokens come twice as fast as the prefill
-// engines read, while decode engines have room. Figures are those of large models on fast accelerators: 33,333
-// prompt tokens a second, 5 ms a step, 40,000 tokens of memory an engine.
+// Bursts of long prompts that arrive twice as fast as the prefill engines can process them, while decode engines have
+// spare capacity. The figures are typical of large models on fast accelerators: 33,333 prompt tokens per second, 5 ms
+// per step, and 40,000 tokens of memory per engine.
 
 #include <LibDecision/CellScheduler.h>
 #include <Tests/Support/VirtualClock.h>
@@ -66,7 +66,7 @@
         this->scheduler.progress(request, GrantProgress::Decoding, at_milliseconds(now));
     }
 
-    /// "prefill>decode" by request; "itself>decode" where the decode engine reads; "refused".
+    /// "prefill>decode" by request, "itself>decode" if the decode engine runs the prefill, or "refused".
     std::map<std::string, std::string> take()
     {
         std::map<std::string, std::string> made;
@@ -107,7 +107,7 @@
     CHECK(count_of(made, "itself>d0") == 1);
     CHECK(count_of(made, "itself>d1") == 1);
     CHECK(count_of(made, "refused") == refused_without - 2);
-    // What prefill engines have read in time they read.
+    // Prompts that prefill engines can process in time stay there.
     CHECK(made.at("r0") == "p0>d0");
 }
 
@@ -115,7 +115,7 @@
 {
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow);
     pool.scheduler.set_leaving("d1", EngineReport::Life::Leaving);
-    // 840 ms of reading; what comes behind would be late.
+    // A prefill of 840 ms, which would delay any prompt behind it beyond its deadline.
     pool.scheduler.ask(pool.make_ask("long", 0, 28'000), at_milliseconds(0));
     pool.scheduler.ask(pool.make_ask("first", 0, 3000), at_milliseconds(0));
     pool.scheduler.ask(pool.make_ask("early", 100, 3000), at_milliseconds(100));
@@ -124,14 +124,14 @@
     CHECK(made.at("first") == "itself>d0");
     CHECK_FALSE(made.contains("early"));
     pool.run("first", 235);
-    // The prefill engine might still be in time; at the last moment to decide nothing is left to wait for.
+    // The prefill engine could still meet the deadline, but the decision is due.
     CHECK(pool.take().empty());
     pool.scheduler.advance(at_milliseconds(265));
     made = pool.take();
     CHECK(made.at("early") == "itself>d0");
 }
 
-// 64 tokens of an answer come together there: all of a reading falls between two events of each answer.
+// With 64 tokens per event, a whole prefill falls between two events of each running answer.
 TEST_CASE("No answers are made late for the sake of one prompt", "[burst]")
 {
     auto const prompt = GENERATE(2000, 8000);
@@ -142,7 +142,7 @@
     }
     pool.take();
     auto const made = burst(pool, 30, prompt);
-    // Steps of 5 ms alone take 320 ms of the 300 that a pause may have, so nothing is read beside answers.
+    // The steps of one event alone take 320 ms of the 300 ms that a pause may last, so no prefill runs next to answers.
     CHECK(count_of(made, "itself") == 0);
 
     Pool idle(SchedulerPolicy::DecodePrefill::Overflow, 64, 400'000);
@@ -152,7 +152,7 @@
 
 TEST_CASE("A reading counts with the memory that the other answers hold longer for it", "[burst][held]")
 {
-    // Room for each next answer, but not for what twelve others hold meanwhile.
+    // Each answer fits, but the additional memory held by twelve others during a prefill does not.
     auto const memory_tokens = GENERATE(46'000, 80'000);
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow, 9, memory_tokens);
     for (int i = 0; i < 24; ++i) {
@@ -172,7 +172,7 @@
     for (int i = 0; i < 40; ++i)
         pool.scheduler.ask(pool.make_ask("r" + std::to_string(i), 0, 3000), at_milliseconds(0));
     auto const made = pool.take();
-    // Ten prompts of 90 ms are read within 900 ms; the rest waits for nothing.
+    // Ten prompts of 90 ms are processed within 900 ms; waiting would not help the remaining ones.
     CHECK(count_of(made, "refused") >= 30);
     CHECK(made.at("r39") == "refused");
 }
@@ -201,7 +201,7 @@
     }
     CHECK(count_of(made, "refused") == 0);
     CHECK(made.size() == 21);
-    // One that can be on time goes before those that are late anyhow.
+    // A request that can meet its deadline precedes those that are already late.
     auto const fresh = std::find(order.begin(), order.end(), "fresh");
     REQUIRE(fresh != order.end());
     CHECK(fresh - order.begin() <= 4);
@@ -219,7 +219,7 @@
     auto const where = pool.take().at("first");
     REQUIRE(where.starts_with("p0>"));
     pool.run("first", 95);
-    // Its caller comes back after the answer broke off, with a crowd before the prefill engine.
+    // The caller retries after its answer was interrupted, while a burst is queued at the prefill engine.
     pool.scheduler.release("first", 100, at_milliseconds(500));
     burst(pool, 16, 3000);
     pool.scheduler.ask(ask("again", 600, "s1"), at_milliseconds(600));
--- a/Tests/LibDecision/TestEngineSubset.cpp
+++ b/Tests/LibDecision/TestEngineSubset.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A fleet of engines of one model, spread over data centres.
+/// Engines of one model, spread over data centres.
 struct Fleet {
     Fleet(std::size_t engines, std::size_t data_centres)
     {
@@ -67,7 +67,7 @@
     EngineSubset second({ 32 });
     auto const chosen = first.choose(fleet.candidates);
     CHECK(second.choose(fleet.candidates) == chosen);
-    // A tenth of all that were chosen is gone.
+    // A tenth of the selected engines is removed.
     auto fewer = fleet.candidates;
     for (std::size_t i = 0; i < chosen.size(); i += 10)
         fewer[chosen[i]].model = "gone";
@@ -86,7 +86,7 @@
     auto const after = subset.choose(fleet.candidates);
     auto const serving = std::count_if(after.begin(), after.end(), [&](auto index) { return fleet.candidates[index].life == SubsetCandidate::Life::Serving; });
     CHECK(serving == 160);
-    // What runs at those that leave is still counted there.
+    // Leaving engines stay selected, because their running requests still have to be counted.
     CHECK(common(chosen, after) == chosen);
 }
 
--- a/Tests/LibDecision/TestLeaseTerm.cpp
+++ b/Tests/LibDecision/TestLeaseTerm.cpp
@@ -29,7 +29,7 @@
     REQUIRE(term.next_step(at(10), NEEDED) == Step::Write);
     CHECK(term.expected_version() == 0);
     term.note_write_sent(at(10));
-    // The answer took long; the term did not begin with it.
+    // The term starts when the write is sent, not when its late answer arrives.
     term.note_written(7, at(1000));
     CHECK(term.fence() == 7);
     CHECK(term.is_held(at(2209)));
@@ -73,7 +73,7 @@
         term.note_read(LeaseRow { "a", 3 }, at(900));
         CHECK(term.next_step(at(900), NEEDED) == Step::Use);
         CHECK(term.fence() == 3);
-        // Counted from when it was sent, not from when it was read.
+        // The term starts when the write was sent, not when the row was read.
         CHECK_FALSE(term.is_held(at(2200)));
     }
     SECTION("it did not")
@@ -100,8 +100,8 @@
     CHECK(term.next_step(at(2200), NEEDED) == Step::Write);
 }
 
-// Three processes with lost answers, late writes and pauses in virtual time: orders of two holders are always at
-// least one term apart, and fencing tokens never fall.
+// Simulates three processes with lost answers, delayed writes and pauses in virtual time. Orders of different holders
+// have to be at least one term apart, and fencing tokens must never decrease.
 TEST_CASE("Holders never overlap, whatever is lost, late or paused", "[lapsed-lease][freeze][answer-lost]")
 {
     auto const seed = GENERATE(range(1, 41));
@@ -145,7 +145,7 @@
         if (now < process.busy_until)
             continue;
         if (chance(0.01)) {
-            // Paused, and unaware of it.
+            // Paused without noticing.
             process.busy_until = now + some(12'000);
             continue;
         }
@@ -171,7 +171,7 @@
             Write const write { index, term.expected_version(), now + some(6000) };
             term.note_write_sent(at(now));
             if (chance(0.15)) {
-                // Nothing came back; it may happen yet.
+                // The write is lost from the sender's view and may still take effect.
                 late.push_back(write);
                 term.note_write_failed();
                 break;
--- a/Tests/LibDecision/TestMemoryForecast.cpp
+++ b/Tests/LibDecision/TestMemoryForecast.cpp
@@ -26,7 +26,7 @@
     return forecast;
 }
 
-/// One prefill engine and decode engines that take so many tokens each.
+/// One prefill engine, and decode engines with the given memory in tokens.
 class MemoryCell {
 public:
     MemoryCell(int decode_engines, std::int64_t memory_tokens, CellScheduler::Options options)
@@ -101,7 +101,7 @@
     auto const forecast = forecast_of({ answer(1000, 0, 1000, 4000) });
     REQUIRE(forecast.tokens_at(0) == Approx(1000));
     REQUIRE(forecast.tokens_at(1) > 1000);
-    // Half of such answers are over at the median.
+    // Half of such answers have ended at the median length.
     REQUIRE(forecast.tokens_at(5) == Approx(1000).margin(30));
     REQUIRE(forecast.tokens_at(20) == 0);
 }
@@ -114,8 +114,8 @@
     REQUIRE(probability_of_exceeding(8000, expected, SPREAD) == 0);
 }
 
-// The same memory, filled to the same part with answers to long prompts and with long answers: only of the latter it
-// is not known how much they will hold, so less is promised.
+// With the same expected use, more memory has to stay free for long answers than for long prompts, since only the
+// length of answers is uncertain.
 TEST_CASE("What is not known of answers keeps memory free, what is known does not")
 {
     auto const room_for = [](double prompt, double made, double expected) {
@@ -127,7 +127,7 @@
         double memory = 0;
         while (!forecast.has_capacity_for(next, Duration::zero(), memory))
             memory += 100;
-        // Against what is expected alone.
+        // Compared with the expected use alone.
         MemoryForecast expected_alone({ SPREAD, 0, 0 });
         for (int i = 0; i < 10; ++i)
             expected_alone.add(answer(prompt, made, expected, 4 * expected), milliseconds(1));
@@ -151,7 +151,7 @@
     REQUIRE(delay > Duration::zero());
     REQUIRE(delay < seconds(2));
     REQUIRE(running.has_capacity_for(next, delay, 16'000));
-    // More memory than there is never fits.
+    // A request larger than the memory never fits.
     REQUIRE(running.shortest_delay(next, 5'000) == MemoryForecast::STEP * static_cast<std::int64_t>(MemoryForecast::STEPS));
 }
 
@@ -164,7 +164,7 @@
     auto const first = cell.take();
     REQUIRE(first.at("one") == "d0");
     REQUIRE(first.at("two") == "d0");
-    // The answers before it may be over in time, or not.
+    // The running answers may or may not end in time.
     REQUIRE_FALSE(first.contains("three"));
     cell.scheduler.advance(at_milliseconds(200));
     REQUIRE(cell.take().at("three") == "refused");
@@ -214,7 +214,7 @@
     auto options = MemoryCell::options();
     options.policy.backfill = backfill;
     MemoryCell cell(1, 20'000, options);
-    // Ends soon enough for the large one to wait for it.
+    // Ends early enough for the large request to wait for it.
     cell.scheduler.ask(cell.make_ask("running", 0, 12'000, 400), at_milliseconds(0));
     cell.scheduler.progress("running", GrantProgress::CacheHeld, at_milliseconds(250));
     cell.scheduler.progress("running", GrantProgress::Decoding, at_milliseconds(260));
@@ -265,7 +265,7 @@
     cell.scheduler.note_failure("p", at_milliseconds(601));
     cell.scheduler.ask(cell.make_ask("one", 610, 5000, 1000), at_milliseconds(610));
     REQUIRE(cell.take().contains("one"));
-    // One that is well again goes before all of them.
+    // An engine that recovered is preferred to all engines in backoff.
     cell.scheduler.progress("one", GrantProgress::CacheHeld, at_milliseconds(700));
     cell.scheduler.progress("one", GrantProgress::Decoding, at_milliseconds(710));
     auto const well = cell.scheduler.locate("one")->decode_engine;
@@ -286,8 +286,8 @@
 
 namespace {
 
-/// Asks that are refused in four seconds after half of the VMs died together, where a grant that nobody names is over
-/// after the given time. Streams of 7,000 tokens come to engines that they fill.
+/// Number of requests refused in the four seconds after half of the VMs died, with the given timeout of stale grants.
+/// Streams of 7,000 tokens arrive at engines that they nearly fill.
 int refused_after_kill(Duration stale_grant_timeout)
 {
     auto options = MemoryCell::options();
@@ -317,7 +317,7 @@
             for (auto const& [name, stream] : running)
                 cell.scheduler.restore(stream.ask, "p", stream.engine, GrantProgress::Decoding, milliseconds(now - stream.since), at_milliseconds(now));
         }
-        // Just under what the engines hold.
+        // Slightly below the capacity of the engines.
         if (now % 30 == 0) {
             auto ask = cell.make_ask("r" + std::to_string(now), now, 3500, ANSWER);
             asked.emplace(ask.request, ask);
@@ -339,8 +339,8 @@
 
 }
 
-// Half of the VMs of a large deployment are killed at one moment. Their engines are free at once; what the keeper counts for them
-// keeps callers of the others out until it is taken for over.
+// When half of the VMs of a large deployment are killed at once, their engines' memory is free immediately, but the
+// keeper refuses requests of other VMs until the grants of the dead VMs time out.
 TEST_CASE("What VMs that died together held is promised again soon", "[held][kill][burst]")
 {
     auto const soon = refused_after_kill(milliseconds(1600));
--- a/Tests/LibDecision/TestPrefillRateEstimator.cpp
+++ b/Tests/LibDecision/TestPrefillRateEstimator.cpp
@@ -16,8 +16,8 @@
 
 }
 
-// The pattern: prompts of widely spread lengths that come one by one, at engines whose result comes some time after
-// the reading. Rates and latencies are those of a fast small and of a slow large model.
+// Unqueued prompts of widely different lengths, at engines whose results arrive some time after the computation. Rates
+// and latencies are those of a small fast model and of a large slow one.
 TEST_CASE("Rate and latency of prefills are told apart by prompts of different lengths")
 {
     auto const rate = GENERATE(8'000.0, 33'333.0, 55'556.0);
--- a/Tests/LibDecision/TestRefusalHistory.cpp
+++ b/Tests/LibDecision/TestRefusalHistory.cpp
@@ -13,7 +13,7 @@
 
 RequestTraits traits(std::string_view part) { return { "one", "m", part, 3000, 10'000, 4000 }; }
 
-/// An engine that reads and one that answers, with room for two answers of the asks below.
+/// One prefill and one decode engine with capacity for two of the answers requested below.
 CellScheduler scheduler_for_two()
 {
     CellScheduler::Options options;
@@ -57,7 +57,7 @@
     return ask;
 }
 
-/// The one decision that there is.
+/// Expects exactly one decision.
 PlacementDecision decision_of(CellScheduler& scheduler)
 {
     auto decisions = scheduler.take_decisions();
@@ -74,7 +74,7 @@
     CHECK_FALSE(history.take_matching_refusal(traits("b"), at(100)));
     REQUIRE(history.take_matching_refusal(traits("a"), at(1500)) == at(900));
     CHECK_FALSE(history.take_matching_refusal(traits("a"), at(1600)));
-    // Two callers with the same request are each known.
+    // Two callers with the same request are both recognized.
     history.note_refused(traits("a"), at(900), at(8000));
     history.note_refused(traits("a"), at(1000), at(8000));
     CHECK(history.take_matching_refusal(traits("a"), at(1500)));
@@ -120,7 +120,7 @@
     scheduler.ask(ask_at(at(0), "full-1", "x"), at(0));
     scheduler.ask(ask_at(at(0), "full-2", "y"), at(0));
     REQUIRE(scheduler.take_decisions().size() == 2);
-    // Both answers take their engine for longer than the next caller can wait.
+    // Both answers occupy the engine for longer than the next caller can wait.
     scheduler.progress("full-1", GrantProgress::Decoding, at(100));
     scheduler.progress("full-2", GrantProgress::Decoding, at(100));
     scheduler.ask(ask_at(at(100), "first-try", "z"), at(100));
@@ -140,7 +140,7 @@
     SECTION("it comes too late for that")
     {
         scheduler.ask(ask_at(at(1200), "second-try", "z"), at(1200));
-        // Unlike a first visit it waits on, and goes behind one that can be on time.
+        // Unlike a first attempt it keeps waiting, behind requests that can meet their deadline.
         scheduler.advance(at(1500));
         CHECK(scheduler.take_decisions().empty());
         scheduler.ask(ask_at(at(1550), "fresh", "w"), at(1550));
--- a/Tests/LibDecision/TestRequestState.cpp
+++ b/Tests/LibDecision/TestRequestState.cpp
@@ -11,7 +11,7 @@
 
 constexpr int EVENTS = static_cast<int>(RequestEvent::Dispatch) + 1;
 
-/// Walks every sequence of events up to a depth and calls the check after each.
+/// Applies every sequence of events up to the given depth and calls the check after each event.
 template<typename Check>
 void explore(RequestState const& state, int depth, Check const& check)
 {
--- a/Tests/LibDecision/TestRoleBalancer.cpp
+++ b/Tests/LibDecision/TestRoleBalancer.cpp
@@ -12,10 +12,10 @@
 
 MonotonicTime at(std::int64_t time) { return MonotonicTime(milliseconds(time)); }
 
-/// Engines of the size that Temelia has.
+/// Engine capacities of the Temelia deployment.
 EngineCapacity const s_capacity { 50'000, 72'000, 64, Duration(1000) };
 
-/// Lets the balancer see enough requests of these lengths at once.
+/// Adds enough requests of these lengths to estimate the workload.
 void teach(RoleBalancer& balancer, std::int64_t prompt, std::int64_t output, MonotonicTime now)
 {
     for (int i = 0; i < 40; ++i)
@@ -30,7 +30,7 @@
     return engines;
 }
 
-/// Lets the balancer see the pool for long enough; gives the time after that.
+/// Waits until the pool counts as settled and returns the time after that.
 std::int64_t settle(RoleBalancer& balancer, std::vector<RoleCandidate> const& engines, std::int64_t from)
 {
     static_cast<void>(balancer.next_change(engines, s_capacity, at(from)));
@@ -59,11 +59,11 @@
         { 2, 5000, 4400, 1 },
         { 4, 5000, 4400, 1 },
         { 9, 5000, 4400, 2 },
-        // 0.125 s of a prefill engine against 0.55 s of a decode engine: seven against 29.
+        // 0.125 s of a prefill engine and 0.55 s of a decode engine per request: 7 and 29 engines.
         { 36, 5000, 4400, 7 },
-        // Prompts alone, nearly.
+        // Almost only prefill.
         { 9, 20'000, 40, 7 },
-        // Answers alone, nearly.
+        // Almost only decode.
         { 9, 50, 8000, 2 },
     }));
     CAPTURE(row.engines, row.prompt, row.output);
@@ -82,7 +82,7 @@
     CAPTURE(row.engines);
     RoleBalancer balancer({});
     CHECK(balancer.wanted_prefill(row.engines, s_capacity) == row.prefill);
-    // Lengths alone tell nothing: a guessed pace would divide the pool by the guess.
+    // Without measured rates, the division would depend on the default rate.
     auto guessed = s_capacity;
     guessed.source = EngineCapacity::Source::Assumed;
     teach(balancer, 20'000, 40, at(0));
@@ -119,8 +119,8 @@
 
 namespace {
 
-/// Requests a second that a division serves, worked out by trying: what decode engines have left over when the answers
-/// are made goes to the prompts that the prefill engines cannot read.
+/// Requests per second that a division serves, found by bisection: the time of decode engines that answers do not use
+/// is spent on the prompts that exceed the prefill capacity.
 double served(std::size_t prefill, std::size_t decode, std::int64_t prompt, std::int64_t output, EngineCapacity const& capacity)
 {
     auto const reading = static_cast<double>(prompt) / capacity.prefill_rate / 0.8;
@@ -139,8 +139,8 @@
 
 }
 
-// Any lengths, paces and sizes: nothing but what is observed decides, and the engines end up within a tenth of the
-// best division that there is.
+// For random lengths, rates and pool sizes, the balancer has to come within a tenth of the best division using only
+// what it observes.
 TEST_CASE("From the safe start the pool comes within a tenth of the best division")
 {
     auto const prompt = GENERATE(200, 1500, 5000, 20'000);
@@ -170,7 +170,7 @@
 
 TEST_CASE("A pool that still grows is not divided", "[config]")
 {
-    // A deployment's start: engines enter the list one by one, those that answer first.
+    // At the start of a deployment engines are listed one by one, decode engines first.
     RoleBalancer balancer({});
     auto const whole = pool(4, 5);
     std::vector<RoleCandidate> listed;
@@ -248,7 +248,7 @@
     REQUIRE(none_answers);
     CHECK(none_answers->role == EngineRole::Decode);
 
-    // Those that read are behind a cut; decode engines read for themselves until it heals.
+    // The prefill engines are behind a partition, and decode engines run prefills until it heals.
     RoleBalancer other({});
     for (std::int64_t now = 0; now < 6400; now += 200) {
         other.note_request(5000, 4400, at(now));
@@ -266,7 +266,7 @@
     auto engines = pool(2, 7);
     std::vector<std::pair<std::int64_t, EngineRole>> orders;
     for (std::int64_t now = 0; now < 240'000; now += 100) {
-        // Long prompts with hardly an answer for a while, then as before.
+        // Long prompts with very short answers for a while, then the initial workload again.
         bool const is_other = now >= 20'000 && now < 120'000;
         balancer.note_request(is_other ? 20'000 : 5000, is_other ? 100 : 4400, at(now));
         if (auto const next = balancer.next_change(engines, s_capacity, at(now))) {
@@ -306,7 +306,7 @@
 {
     RoleBalancer balancer({});
     teach(balancer, 5000, 4400, at(0));
-    // Seen from a data centre that is cut off: its own engines answer, and both that read are elsewhere.
+    // The view from an isolated data centre: its own decode engines respond, both prefill engines are elsewhere.
     auto engines = pool(2, 7);
     for (auto& engine : engines)
         engine.is_failing = engine.data_centre != "dc2";
