--- a/Tests/LibDecision/TestCellMap.cpp
+++ b/Tests/LibDecision/TestCellMap.cpp
@@ -36,7 +36,7 @@
     CHECK(CellMap::create(engines(9, 2), {}).cell_count() == 0);
 }
 
-TEST_CASE("Every engine is in one cell, every cell has a keeper of its own and an even share of each kind")
+TEST_CASE("Every engine is in one cell, and every cell has its own keeper and an even share of each kind")
 {
     auto const all = engines(460, 10);
     auto const map = CellMap::create(all, machines(13));
@@ -55,7 +55,7 @@
         CHECK(share <= (46 + 12) / 13);
 }
 
-TEST_CASE("The order of the lists does not change the map")
+TEST_CASE("The map does not depend on the order of the lists")
 {
     auto all = engines(100, 4);
     auto names = machines(5);
@@ -69,7 +69,7 @@
         CHECK(map.keeper_of(cell) == other.keeper_of(cell));
 }
 
-TEST_CASE("A VM that is replaced moves few cells to other keepers")
+TEST_CASE("Replacing a VM moves few cells to other keepers")
 {
     auto const all = engines(460, 10);
     auto names = machines(13);
--- a/Tests/LibDecision/TestCellScheduler.cpp
+++ b/Tests/LibDecision/TestCellScheduler.cpp
@@ -74,7 +74,7 @@
 
 }
 
-TEST_CASE("A request gets the prefill engine that is done first and the decode engine with most free slots")
+TEST_CASE("A request gets the earliest prefill engine and the decode engine with the most free slots")
 {
     Cell cell(2, 2, 4);
     cell.ask("r1", 0, 2000);
@@ -85,7 +85,7 @@
 
 // Guards against KV cache transfers between data centres that gain little: with identical engines and long prompts, a
 // transfer within a data centre takes half as long as one between two.
-TEST_CASE("A prompt is read in the asking VM's data centre while that costs its caller little")
+TEST_CASE("Prefill engines in the requesting VM's data centre are preferred within the configured delay")
 {
     struct Row {
         std::string name;
@@ -96,10 +96,10 @@
     };
     auto const row = GENERATE(values<Row>({
         { "both idle", "dc-b", 0, "p1" },
-        { "home is done a little later", "dc-b", 250, "p1" },
-        { "home is done too late", "dc-b", 350, "p0" },
-        { "no engine at home", "dc-c", 0, "p0" },
-        { "it is not known who asks", "", 0, "p0" },
+        { "local engine slightly later", "dc-b", 250, "p1" },
+        { "local engine too late", "dc-b", 350, "p0" },
+        { "no local engine", "dc-c", 0, "p0" },
+        { "requesting data centre unknown", "", 0, "p0" },
     }));
     CAPTURE(row.name);
     Cell cell(2, 2, 4);
@@ -128,7 +128,7 @@
     CHECK(decisions[0].substr(0, 16) == "grant request " + row.reader);
 }
 
-TEST_CASE("No prefill starts without a decode slot that will be there")
+TEST_CASE("No prefill starts without a promised decode slot")
 {
     Cell cell(1, 1, 1);
     cell.ask("r1", 0, 100);
@@ -140,7 +140,7 @@
     CHECK(cell.decisions() == Texts { "grant r2 p0 d0" });
 }
 
-TEST_CASE("With the promise ignored the same prefill starts at once")
+TEST_CASE("Without slot promises a prefill starts at once")
 {
     CellScheduler::Options options;
     options.policy.slot_promise = SchedulerPolicy::SlotPromise::Ignored;
@@ -151,7 +151,7 @@
     CHECK(cell.decisions() == Texts { "grant r1 p0 d0", "grant r2 p0 d0" });
 }
 
-TEST_CASE("A slot that is predicted to be free in time is promised ahead")
+TEST_CASE("A slot that is predicted to be free in time is promised in advance")
 {
     Cell cell(1, 1, 1);
     for (int i = 0; i < 200; ++i) {
@@ -169,7 +169,7 @@
     CHECK(cell.decisions() == Texts { "grant r1 p0 d0", "grant r2 p0 d0" });
 }
 
-TEST_CASE("What cannot meet its first token any more is refused at once, with when to come back")
+TEST_CASE("A request that cannot meet its first token deadline is refused at once with a retry delay")
 {
     Cell cell(1, 1, 4);
     cell.ask("hopeless", 0, 9800);
@@ -180,7 +180,7 @@
     CHECK(refusal.retry_after >= milliseconds(100));
 }
 
-TEST_CASE("A waiting request is refused when its time comes, not at its deadline")
+TEST_CASE("A waiting request is refused as soon as its deadline cannot be met")
 {
     Cell cell(1, 1, 1);
     cell.ask("r1", 0, 100);
@@ -194,7 +194,7 @@
     CHECK(cell.decisions() == Texts { "refuse r2 cannot_meet_first_token" });
 }
 
-TEST_CASE("Priority goes first, then the account that had less, then the earlier deadline")
+TEST_CASE("Requests are ordered by priority, account usage and deadline")
 {
     Cell cell(1, 1, 1);
     cell.ask("first", 0, 100, "a");
@@ -217,7 +217,7 @@
     CHECK(order == Texts { "grant urgent p0 d0", "grant b1 p0 d0", "grant a1 p0 d0", "grant a2 p0 d0" });
 }
 
-TEST_CASE("An account over its rate is refused and told when to come back")
+TEST_CASE("An account over its rate is refused with a retry delay")
 {
     Cell cell(1, 1, 20);
     for (int i = 0; i < 3; ++i)
@@ -228,7 +228,7 @@
     CHECK(cell.decisions() == Texts { "grant r3 p0 d0" });
 }
 
-TEST_CASE("Unknown models, accounts and names in use are refused by reason")
+TEST_CASE("Unknown models, unknown accounts and duplicate requests are refused with the reason")
 {
     Cell cell(1, 1, 4);
     cell.ask("r1", 0);
@@ -242,9 +242,9 @@
     CHECK(cell.decisions() == Texts { "grant r1 p0 d0", "refuse r1 duplicate", "refuse r2 unknown_account", "refuse r3 unknown_model" });
 }
 
-TEST_CASE("A leaving engine gets nothing new, whichever hint says so", "[leaving]")
+TEST_CASE("A leaving engine gets no new requests, whatever the source of that information", "[leaving]")
 {
-    SECTION("its own report")
+    SECTION("engine report")
     {
         Cell cell(1, 2, 4);
         cell.reports["d0"].life = EngineReport::Life::Leaving;
@@ -252,7 +252,7 @@
         cell.ask("r1", 20);
         CHECK(cell.decisions() == Texts { "grant r1 p0 d1" });
     }
-    SECTION("a drain or the list of machines")
+    SECTION("a drain or the VM list")
     {
         Cell cell(1, 2, 4);
         cell.scheduler.set_leaving("d0", EngineReport::Life::Leaving);
@@ -262,7 +262,7 @@
         cell.ask("r2", 21);
         CHECK(cell.decisions() == Texts { "grant r2 p0 d0" });
     }
-    SECTION("silence")
+    SECTION("no reports")
     {
         Cell cell(1, 2, 4);
         cell.scheduler.report("p0", {}, at_milliseconds(3500));
@@ -272,7 +272,7 @@
     }
 }
 
-TEST_CASE("An engine that failed an entry gets nothing new until it reports and its time out is over", "[held][kill]")
+TEST_CASE("A failed engine gets no new requests until it reports and its backoff has expired", "[held][kill]")
 {
     Cell cell(1, 2, 4);
     cell.scheduler.note_failure("d0", at_milliseconds(0));
@@ -285,7 +285,7 @@
     CHECK(cell.decisions() == Texts { "grant r3 p0 d0" });
 }
 
-TEST_CASE("The time that a failing engine is left out doubles, and one success ends that", "[held][stalled-transfer]")
+TEST_CASE("The backoff of a failing engine doubles and is reset by a success", "[held][stalled-transfer]")
 {
     Cell cell(1, 1, 20);
     auto const is_used_at = [&](std::int64_t now) {
@@ -311,7 +311,7 @@
     CHECK(is_used_at(2201));
 }
 
-TEST_CASE("An engine that failed is tried by one request before it gets more", "[held][stalled-transfer]")
+TEST_CASE("A failed engine gets a single probe request first", "[held][stalled-transfer]")
 {
     Cell cell(1, 1, 20);
     cell.scheduler.note_failure("d0", at_milliseconds(0));
@@ -323,7 +323,7 @@
     CHECK(cell.decisions() == Texts { "grant r2 p0 d0" });
 }
 
-TEST_CASE("A new keeper grants nothing before it heard from the engines and counts what they hold", "[held][kill]")
+TEST_CASE("A new keeper grants nothing until engines have reported, and counts the requests they hold", "[held][kill]")
 {
     CellScheduler scheduler({});
     std::vector<EngineDescription> const engines = { { "p0", "llm", EngineRole::Prefill, 0, 10'000, 0, 1 }, { "d0", "llm", EngineRole::Decode, 2, 10'000, 0, 1 } };
@@ -343,7 +343,7 @@
     CHECK(scheduler.locate("old-1")->decode_engine == "d0");
 }
 
-TEST_CASE("An engine that starts again under its name has all of its places, and what ran before is no more", "[kill]")
+TEST_CASE("A restarted engine has all slots free and none of its previous requests", "[kill]")
 {
     Cell cell(1, 1, 1);
     cell.ask("a", 0);
@@ -360,7 +360,7 @@
     CHECK(cell.decisions().empty());
 }
 
-TEST_CASE("A report that lags does not bring released work back", "[held][slow]")
+TEST_CASE("A delayed report does not restore released requests", "[held][slow]")
 {
     Cell cell(1, 1, 1);
     cell.ask("r1", 0, 100);
@@ -373,7 +373,7 @@
     CHECK(cell.decisions() == Texts { "grant r2 p0 d0" });
 }
 
-TEST_CASE("A grant that nobody takes up is free again after its lease", "[held][lapsed-lease]")
+TEST_CASE("An unconfirmed grant is withdrawn after its lease", "[held][lapsed-lease]")
 {
     Cell cell(1, 1, 1);
     cell.ask("r1", 0, 100);
@@ -386,7 +386,7 @@
     CHECK(cell.decisions() == Texts { "grant r2 p0 d0" });
 }
 
-TEST_CASE("What a dead origin was granted is freed, but for what an engine still holds", "[held][kill]")
+TEST_CASE("Grants of a dead origin are released, except for requests that an engine still holds", "[held][kill]")
 {
     Cell cell(1, 1, 2);
     cell.ask("r1", 0, 100);
@@ -404,7 +404,7 @@
     CHECK_FALSE(cell.scheduler.knows("r2"));
 }
 
-TEST_CASE("Two keepers at once promise at most what the engine then refuses: neither hands a slot to the other's request")
+TEST_CASE("Two concurrent keepers count each other's requests and keep their own")
 {
     Cell first(1, 1, 1);
     Cell second(1, 1, 1);
--- a/Tests/LibDecision/TestColdUpstreamSchedule.cpp
+++ b/Tests/LibDecision/TestColdUpstreamSchedule.cpp
@@ -57,7 +57,7 @@
 }
 
 // The operators' limit is 1.5 times the rate plus five requests.
-TEST_CASE("All VMs together send a cold upstream no more than it bears", "[cold]")
+TEST_CASE("All VMs together do not exceed the rate of a cold upstream", "[cold]")
 {
     auto const count = GENERATE(1, 8, 71, 350);
     auto const rate = GENERATE(4.0, 29.0);
@@ -68,7 +68,7 @@
     CHECK(static_cast<double>(upstream.sends.size()) >= 0.9 * rate * 20 - 1);
 }
 
-TEST_CASE("VMs that were idle do not send to a cold upstream all together", "[cold][burst]")
+TEST_CASE("Idle VMs do not send to a cold upstream all at once", "[cold][burst]")
 {
     auto const count = GENERATE(8, 71, 350);
     std::size_t most = 0;
@@ -80,7 +80,7 @@
     CHECK(static_cast<double>(most) <= 29 * 1.5 + 5);
 }
 
-TEST_CASE("A VM that has to leave a cold upstream to others knows when its turn comes", "[cold]")
+TEST_CASE("A VM knows when its next turn at a cold upstream begins", "[cold]")
 {
     ColdUpstreamSchedule turns({});
     SendingMachines const machines { 50, 17 };
@@ -93,7 +93,7 @@
     CHECK(turns.time_until_turn("u", 10, machines, turn + milliseconds(100)) > Duration::zero());
 }
 
-TEST_CASE("A keeper gives a cold engine no more than it bears", "[cold][burst]")
+TEST_CASE("A keeper does not exceed the rate of a cold engine", "[cold][burst]")
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
--- a/Tests/LibDecision/TestDeadOriginTracker.cpp
+++ b/Tests/LibDecision/TestDeadOriginTracker.cpp
@@ -6,7 +6,7 @@
 
 using namespace Spurtide;
 
-TEST_CASE("An origin is gone once it was missing all through the grace time", "[held][kill]")
+TEST_CASE("An origin is dead once it has been missing for the whole grace period", "[held][kill]")
 {
     DeadOriginTracker missing;
     std::set<std::string> live { "a" };
@@ -16,13 +16,13 @@
     };
     CHECK(gone({ "a", "b" }, 0).empty());
     CHECK(gone({ "a", "b" }, 1999).empty());
-    SECTION("it stays away")
+    SECTION("it stays missing")
     {
         CHECK(gone({ "a", "b" }, 2000) == std::vector<std::string> { "b" });
         // Reported once. If the origin still holds grants, its grace period restarts.
         CHECK(gone({ "a", "b" }, 2001).empty());
     }
-    SECTION("it was only new")
+    SECTION("its announcement was delayed")
     {
         live.insert("b");
         CHECK(gone({ "a", "b" }, 2000).empty());
@@ -31,7 +31,7 @@
         CHECK(gone({ "a", "b" }, 4499).empty());
         CHECK(gone({ "a", "b" }, 4500) == std::vector<std::string> { "b" });
     }
-    SECTION("it holds nothing for a while")
+    SECTION("it holds no grants for a while")
     {
         CHECK(gone({ "a" }, 1999).empty());
         CHECK(gone({ "a", "b" }, 2500).empty());
--- a/Tests/LibDecision/TestDecodePrefill.cpp
+++ b/Tests/LibDecision/TestDecodePrefill.cpp
@@ -98,7 +98,7 @@
 
 }
 
-TEST_CASE("Prompts that would be read too late are read by decode engines, one at a time each", "[burst]")
+TEST_CASE("Prompts that prefill engines would finish too late run on decode engines, one at a time each", "[burst]")
 {
     Pool without(SchedulerPolicy::DecodePrefill::WithoutPrefillEngines);
     auto const refused_without = count_of(burst(without, 16, 3000), "refused");
@@ -111,7 +111,7 @@
     CHECK(made.at("r0") == "p0>d0");
 }
 
-TEST_CASE("Once a decode engine has read a prompt it may read the next", "[burst]")
+TEST_CASE("A decode engine may run the next prefill once it has finished one", "[burst]")
 {
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow);
     pool.scheduler.set_leaving("d1", EngineReport::Life::Leaving);
@@ -132,7 +132,7 @@
 }
 
 // With 64 tokens per event, a whole prefill falls between two events of each running answer.
-TEST_CASE("No answers are made late for the sake of one prompt", "[burst]")
+TEST_CASE("A prefill does not make the other answers of a decode engine late", "[burst]")
 {
     auto const prompt = GENERATE(2000, 8000);
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow, 64, 400'000);
@@ -150,7 +150,7 @@
     CHECK(count_of(burst(idle, 1, prompt), "itself") == 1);
 }
 
-TEST_CASE("A reading counts with the memory that the other answers hold longer for it", "[burst][held]")
+TEST_CASE("A prefill on a decode engine accounts for the memory that other answers hold longer", "[burst][held]")
 {
     // Each answer fits, but the additional memory held by twelve others during a prefill does not.
     auto const memory_tokens = GENERATE(46'000, 80'000);
@@ -166,7 +166,7 @@
     CHECK(count_of(made, "itself") == (memory_tokens == 80'000 ? 2 : 0));
 }
 
-TEST_CASE("What has more before it than can be read in time is refused at once", "[burst]")
+TEST_CASE("A request behind more prompts than can be processed in time is refused at once", "[burst]")
 {
     Pool pool(SchedulerPolicy::DecodePrefill::WithoutPrefillEngines);
     for (int i = 0; i < 40; ++i)
@@ -177,7 +177,7 @@
     CHECK(made.at("r39") == "refused");
 }
 
-TEST_CASE("A caller that came back waits for a place as long as an answer counts", "[burst]")
+TEST_CASE("A retried request waits as long as a late answer is useful", "[burst]")
 {
     Pool pool(SchedulerPolicy::DecodePrefill::WithoutPrefillEngines);
     for (int i = 0; i < 20; ++i) {
@@ -207,7 +207,7 @@
     CHECK(fresh - order.begin() <= 4);
 }
 
-TEST_CASE("A prompt that an engine has in memory is not read again", "[cached]")
+TEST_CASE("A prompt that an engine has cached is not prefilled again", "[cached]")
 {
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow);
     auto const ask = [&](std::string request, std::int64_t now, std::string part) {
@@ -225,20 +225,20 @@
     pool.scheduler.ask(ask("again", 600, "s1"), at_milliseconds(600));
     CHECK(pool.take().at("again") == "itself" + where.substr(2));
 
-    SECTION("An engine that leaves is passed over")
+    SECTION("A leaving engine is not used")
     {
         pool.scheduler.set_leaving(where.substr(3), EngineReport::Life::Leaving);
         pool.scheduler.ask(ask("third", 4000, "s1"), at_milliseconds(4000));
         CHECK(pool.take()["third"] != "itself" + where.substr(2));
     }
-    SECTION("So is one that failed the request")
+    SECTION("An engine that failed the request is not used")
     {
         auto made = ask("third", 4000, "s1");
         made.excluded_engines = { where.substr(3) };
         pool.scheduler.ask(std::move(made), at_milliseconds(4000));
         CHECK(pool.take()["third"] != "itself" + where.substr(2));
     }
-    SECTION("What was read long ago has given way")
+    SECTION("An old cache entry has expired")
     {
         for (int i = 0; i < 16; ++i)
             pool.scheduler.release("r" + std::to_string(i), 0, at_milliseconds(5000));
@@ -248,7 +248,7 @@
     }
 }
 
-TEST_CASE("A keeper that is new in office takes the engines' word for what they have", "[cached][kill]")
+TEST_CASE("A new keeper uses the cached prompts that engines report", "[cached][kill]")
 {
     Pool pool(SchedulerPolicy::DecodePrefill::Overflow);
     pool.scheduler.note_cached("d1", std::vector<std::string> { "shared", "s7" }, at_milliseconds(0));
--- a/Tests/LibDecision/TestEngineSubset.cpp
+++ b/Tests/LibDecision/TestEngineSubset.cpp
@@ -40,7 +40,7 @@
 
 }
 
-TEST_CASE("What a keeper works with does not grow with the fleet, and each data centre has its part", "[fleet]")
+TEST_CASE("The subset does not grow with the fleet and covers each data centre", "[fleet]")
 {
     auto const engines = GENERATE(8'650, 20'000, 40'000);
     Fleet const fleet(static_cast<std::size_t>(engines), 5);
@@ -52,7 +52,7 @@
     CHECK(subset.is_partial("model"));
 }
 
-TEST_CASE("A deployment of hundreds of upstreams works with all of its engines", "[fleet]")
+TEST_CASE("A deployment of hundreds of upstreams uses all of its engines", "[fleet]")
 {
     Fleet const fleet(90, 3);
     EngineSubset subset({ 32 });
@@ -60,7 +60,7 @@
     CHECK_FALSE(subset.is_partial("model"));
 }
 
-TEST_CASE("The next keeper chooses the same engines, and a few that come or go change little", "[fleet][kill]")
+TEST_CASE("A new keeper selects the same engines, and small changes of the fleet change little", "[fleet][kill]")
 {
     Fleet const fleet(8'650, 5);
     EngineSubset first({ 32 });
@@ -76,7 +76,7 @@
     CHECK(after.size() == chosen.size() + 16);
 }
 
-TEST_CASE("Half of the chosen engines leave at once: others are there with the next choice", "[fleet][leaving]")
+TEST_CASE("Engines that leave at once are replaced by the next selection", "[fleet][leaving]")
 {
     Fleet fleet(8'650, 5);
     EngineSubset subset({ 32 });
@@ -90,7 +90,7 @@
     CHECK(common(chosen, after) == chosen);
 }
 
-TEST_CASE("A burst gets more engines, until all are in", "[fleet][burst]")
+TEST_CASE("The subset grows on demand until it includes all engines", "[fleet][burst]")
 {
     Fleet const fleet(8'650, 5);
     EngineSubset subset({ 32 });
@@ -109,7 +109,7 @@
     CHECK(subset.choose(fleet.candidates).size() == 8'650);
 }
 
-TEST_CASE("An engine that another keeper gave work belongs to the choice", "[fleet][kill]")
+TEST_CASE("An engine with requests of another keeper is included", "[fleet][kill]")
 {
     Fleet fleet(8'650, 5);
     EngineSubset subset({ 32 });
--- a/Tests/LibDecision/TestLeaseTerm.cpp
+++ b/Tests/LibDecision/TestLeaseTerm.cpp
@@ -21,7 +21,7 @@
 
 }
 
-TEST_CASE("A row that is not there is written at once, and the term counts from before the write", "[lapsed-lease]")
+TEST_CASE("A missing row is written at once, and the term counts from before the write", "[lapsed-lease]")
 {
     auto term = make_term("a");
     CHECK(term.next_step(at(0), NEEDED) == Step::Read);
@@ -39,7 +39,7 @@
     CHECK(term.expected_version() == 7);
 }
 
-TEST_CASE("Another's row is taken only after it stood unchanged for two terms by the own clock", "[lapsed-lease]")
+TEST_CASE("The row of another holder is taken only after two unchanged terms on the local clock", "[lapsed-lease]")
 {
     auto term = make_term("b");
     term.note_read(LeaseRow { "a", 7 }, at(0));
@@ -60,7 +60,7 @@
     }
 }
 
-TEST_CASE("After a refused or doubtful write the row is read before anything else", "[answer-lost]")
+TEST_CASE("After a rejected or unanswered write the row is read first", "[answer-lost]")
 {
     auto term = make_term("a");
     term.note_read({}, at(0));
@@ -68,7 +68,7 @@
     term.note_write_failed();
     CHECK_FALSE(term.is_held(at(1)));
     CHECK(term.next_step(at(1), NEEDED) == Step::Read);
-    SECTION("it took effect")
+    SECTION("the write took effect")
     {
         term.note_read(LeaseRow { "a", 3 }, at(900));
         CHECK(term.next_step(at(900), NEEDED) == Step::Use);
@@ -76,19 +76,19 @@
         // The term starts when the write was sent, not when the row was read.
         CHECK_FALSE(term.is_held(at(2200)));
     }
-    SECTION("it did not")
+    SECTION("the write did not take effect")
     {
         term.note_read({}, at(900));
         CHECK(term.next_step(at(900), NEEDED) == Step::Write);
     }
-    SECTION("another was faster")
+    SECTION("another process wrote first")
     {
         term.note_read(LeaseRow { "b", 3 }, at(900));
         CHECK(term.next_step(at(900), NEEDED) == Step::Wait);
     }
 }
 
-TEST_CASE("A read of the own row does not lengthen a term", "[lapsed-lease]")
+TEST_CASE("Reading the own row does not extend a term", "[lapsed-lease]")
 {
     auto term = make_term("a");
     term.note_read({}, at(0));
@@ -102,7 +102,7 @@
 
 // Simulates three processes with lost answers, delayed writes and pauses in virtual time. Orders of different holders
 // have to be at least one term apart, and fencing tokens must never decrease.
-TEST_CASE("Holders never overlap, whatever is lost, late or paused", "[lapsed-lease][freeze][answer-lost]")
+TEST_CASE("Holders never overlap despite lost answers, delayed writes and pauses", "[lapsed-lease][freeze][answer-lost]")
 {
     auto const seed = GENERATE(range(1, 41));
     CAPTURE(seed);
--- a/Tests/LibDecision/TestMemoryForecast.cpp
+++ b/Tests/LibDecision/TestMemoryForecast.cpp
@@ -96,7 +96,7 @@
 
 }
 
-TEST_CASE("An answer's memory grows with it and is given back by its probable end")
+TEST_CASE("An answer's memory grows with its length and is freed at its expected end")
 {
     auto const forecast = forecast_of({ answer(1000, 0, 1000, 4000) });
     REQUIRE(forecast.tokens_at(0) == Approx(1000));
@@ -106,7 +106,7 @@
     REQUIRE(forecast.tokens_at(20) == 0);
 }
 
-TEST_CASE("An answer that outlived its guess is not taken for over")
+TEST_CASE("An answer that exceeds its expected length is not considered finished")
 {
     auto const expected = answer(0, 3000, 1000, 8000);
     REQUIRE(probability_of_exceeding(3000, expected, SPREAD) == 1);
@@ -116,7 +116,7 @@
 
 // With the same expected use, more memory has to stay free for long answers than for long prompts, since only the
 // length of answers is uncertain.
-TEST_CASE("What is not known of answers keeps memory free, what is known does not")
+TEST_CASE("Memory is reserved for the uncertainty of answers, not for prompts")
 {
     auto const room_for = [](double prompt, double made, double expected) {
         MemoryForecast forecast({ SPREAD, 1, 0.2 });
@@ -142,7 +142,7 @@
     CHECK(long_answers > 1.2);
 }
 
-TEST_CASE("What does not fit now fits after the shortest delay that is found")
+TEST_CASE("A request that does not fit now fits after the shortest delay")
 {
     auto const running = forecast_of({ answer(5000, 2000, 2100, 2600), answer(5000, 1500, 2100, 2600) });
     auto const next = forecast_of({ answer(6000, 0, 1000, 2000) });
@@ -155,7 +155,7 @@
     REQUIRE(running.shortest_delay(next, 5'000) == MemoryForecast::STEP * static_cast<std::int64_t>(MemoryForecast::STEPS));
 }
 
-TEST_CASE("A prefill starts only where memory will be there", "[held]")
+TEST_CASE("A prefill starts only if decode memory will be available", "[held]")
 {
     MemoryCell cell(1, 20'000, MemoryCell::options());
     cell.scheduler.ask(cell.make_ask("one", 0, 8000, 1000), at_milliseconds(0));
@@ -173,14 +173,14 @@
     REQUIRE(cell.take().at("four") == "d0");
 }
 
-TEST_CASE("A request that no engine can hold in time is refused at once")
+TEST_CASE("A request that will not fit into any engine in time is refused at once")
 {
     MemoryCell cell(1, 20'000, MemoryCell::options());
     cell.scheduler.ask(cell.make_ask("large", 0, 30'000, 1000), at_milliseconds(0));
     REQUIRE(cell.take().at("large") == "refused");
 }
 
-TEST_CASE("Work goes to the engine with the most memory")
+TEST_CASE("Requests are placed on the engine with the most free memory")
 {
     MemoryCell cell(2, 20'000, MemoryCell::options());
     cell.scheduler.ask(cell.make_ask("one", 0, 6000, 1000), at_milliseconds(0));
@@ -191,7 +191,7 @@
     REQUIRE(placed.at("three") == placed.at("two"));
 }
 
-TEST_CASE("A refused caller comes back within the spread")
+TEST_CASE("Retry delays of refused callers are spread over the configured width")
 {
     auto options = MemoryCell::options();
     options.return_spread = seconds(4);
@@ -208,7 +208,7 @@
     REQUIRE(times.size() > 40);
 }
 
-TEST_CASE("A smaller request passes one that has to wait, where the policy says so")
+TEST_CASE("With backfill a smaller request precedes one that has to wait")
 {
     auto const backfill = GENERATE(SchedulerPolicy::Backfill::On, SchedulerPolicy::Backfill::Off);
     auto options = MemoryCell::options();
@@ -226,7 +226,7 @@
     REQUIRE(decisions.contains("small") == (backfill == SchedulerPolicy::Backfill::On));
 }
 
-TEST_CASE("A request without a place is refused when its time to decide is over")
+TEST_CASE("A request that is not placed by its decision time is refused")
 {
     MemoryCell cell(1, 20'000, MemoryCell::options());
     cell.scheduler.ask(cell.make_ask("running", 0, 12'000, 400), at_milliseconds(0));
@@ -240,7 +240,7 @@
     REQUIRE(cell.take().at("large") == "refused");
 }
 
-TEST_CASE("Where no prefill engine is to be had a decode engine reads the prompt itself, if the policy says so", "[kill][cut]")
+TEST_CASE("Without prefill engines a decode engine runs the prefill if the policy allows it", "[kill][cut]")
 {
     auto const decode_prefill = GENERATE(SchedulerPolicy::DecodePrefill::WithoutPrefillEngines, SchedulerPolicy::DecodePrefill::Off);
     auto options = MemoryCell::options();
@@ -252,7 +252,7 @@
     REQUIRE(cell.take().at("one") == (decode_prefill == SchedulerPolicy::DecodePrefill::WithoutPrefillEngines ? "d0" : "refused"));
 }
 
-TEST_CASE("The engines of a role are never all left out", "[answer-lost]")
+TEST_CASE("The engines of a role are never all excluded", "[answer-lost]")
 {
     auto options = MemoryCell::options();
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
@@ -273,7 +273,7 @@
     REQUIRE(cell.take().at("two") == well);
 }
 
-TEST_CASE("A keeper new in office counts what entries hold, at their age", "[held][kill]")
+TEST_CASE("A new keeper counts the grants that entries restore, with their age", "[held][kill]")
 {
     MemoryCell cell(1, 20'000, MemoryCell::options());
     cell.scheduler.restore(cell.make_ask("old", 0, 12'000, 4000), "p", "d0", GrantProgress::Decoding, seconds(1), at_milliseconds(0));
@@ -341,7 +341,7 @@
 
 // When half of the VMs of a large deployment are killed at once, their engines' memory is free immediately, but the
 // keeper refuses requests of other VMs until the grants of the dead VMs time out.
-TEST_CASE("What VMs that died together held is promised again soon", "[held][kill][burst]")
+TEST_CASE("Memory held by VMs that died at once is promised again soon", "[held][kill][burst]")
 {
     auto const soon = refused_after_kill(milliseconds(1600));
     auto const late = refused_after_kill(milliseconds(3500));
--- a/Tests/LibDecision/TestOrphanReaper.cpp
+++ b/Tests/LibDecision/TestOrphanReaper.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST_CASE("Work of a live origin is asked about and cancelled only when disowned", "[held][cut]")
+TEST_CASE("Requests of a live origin are queried and cancelled only if disowned", "[held][cut]")
 {
     OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
@@ -36,7 +36,7 @@
     CHECK(findings.cancellations.front().reason == "disowned");
 }
 
-TEST_CASE("Work of a dead origin is cancelled after the grace, and never while it is read", "[held][kill]")
+TEST_CASE("Requests of a dead origin are cancelled after the grace period, unless a reader is attached", "[held][kill]")
 {
     OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const orphan = { work() };
@@ -49,7 +49,7 @@
     CHECK(reaper.observe("d0", orphan, dead, at_milliseconds(8100)).cancellations.size() == 1);
 }
 
-TEST_CASE("An origin that wakes in time keeps its work", "[held][freeze][lapsed-lease]")
+TEST_CASE("An origin that recovers in time keeps its requests", "[held][freeze][lapsed-lease]")
 {
     OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
@@ -60,7 +60,7 @@
     CHECK(reaper.observe("d0", held, dead, at_milliseconds(9000)).cancellations.size() == 1);
 }
 
-TEST_CASE("A cancel that failed is given again, and work that is gone is forgotten", "[held][answer-lost]")
+TEST_CASE("A failed cancellation is repeated, and requests that ended are forgotten", "[held][answer-lost]")
 {
     OrphanReaper reaper({ seconds(4), seconds(1), seconds(1) });
     std::vector const held = { work() };
--- a/Tests/LibDecision/TestPrefillRateEstimator.cpp
+++ b/Tests/LibDecision/TestPrefillRateEstimator.cpp
@@ -18,7 +18,7 @@
 
 // Unqueued prompts of widely different lengths, at engines whose results arrive some time after the computation. Rates
 // and latencies are those of a small fast model and of a large slow one.
-TEST_CASE("Rate and latency of prefills are told apart by prompts of different lengths")
+TEST_CASE("Prompts of different lengths separate prefill rate and latency")
 {
     auto const rate = GENERATE(8'000.0, 33'333.0, 55'556.0);
     auto const latency = GENERATE(milliseconds(0), milliseconds(12), milliseconds(47));
@@ -31,7 +31,7 @@
     CHECK(to_seconds(estimator.compute_time(3200)) == Approx(3200 / rate).epsilon(0.01));
 }
 
-TEST_CASE("Prompts of one length tell a rate alone")
+TEST_CASE("Prompts of equal length yield only a rate")
 {
     PrefillRateEstimator estimator(50'000);
     for (int i = 0; i < 10; ++i)
@@ -40,7 +40,7 @@
     CHECK(estimator.latency() == Duration::zero());
 }
 
-TEST_CASE("One prompt that was held up does not stand for all")
+TEST_CASE("A single delayed prompt does not dominate the estimate")
 {
     PrefillRateEstimator estimator(50'000);
     estimator.add_sample(100, milliseconds(1000));
@@ -48,7 +48,7 @@
     CHECK_FALSE(estimator.is_known());
 }
 
-TEST_CASE("Times and lengths of nothing are not taken")
+TEST_CASE("Samples without duration or length are ignored")
 {
     PrefillRateEstimator estimator(50'000);
     estimator.add_sample(0, milliseconds(10));
@@ -56,7 +56,7 @@
     CHECK(estimator.rate() == Approx(50'000));
 }
 
-TEST_CASE("A pace that changes is followed")
+TEST_CASE("A changing rate is followed")
 {
     PrefillRateEstimator estimator(50'000);
     std::vector<int> const lengths { 3000, 900, 6600, 2100, 4200, 1300 };
--- a/Tests/LibDecision/TestRefusalHistory.cpp
+++ b/Tests/LibDecision/TestRefusalHistory.cpp
@@ -67,7 +67,7 @@
 
 }
 
-TEST_CASE("A caller that comes back with its request is known, once for each refusal", "[returns]")
+TEST_CASE("A retried request is recognized, once for each refusal", "[returns]")
 {
     RefusalHistory history;
     history.note_refused(traits("a"), at(900), at(8000));
@@ -82,7 +82,7 @@
     CHECK_FALSE(history.take_matching_refusal(traits("a"), at(1500)));
 }
 
-TEST_CASE("Each trait tells requests apart", "[returns]")
+TEST_CASE("Requests that differ in any trait do not match", "[returns]")
 {
     RefusalHistory history;
     auto const same = traits("a");
@@ -105,7 +105,7 @@
     CHECK(history.take_matching_refusal(same, at(1000)));
 }
 
-TEST_CASE("Who stays away longer than a caller waits came for something else", "[returns]")
+TEST_CASE("A request that arrives after the retry window is not a retry", "[returns]")
 {
     RefusalHistory history;
     history.note_refused(traits("a"), at(900), at(8000));
@@ -114,7 +114,7 @@
     CHECK(history.size() == 0);
 }
 
-TEST_CASE("A return that can be on time is held to its first visit, and one that cannot is served late behind others", "[returns][overload]")
+TEST_CASE("A retry is held to the deadline of its first attempt, or served late behind others", "[returns][overload]")
 {
     auto scheduler = scheduler_for_two();
     scheduler.ask(ask_at(at(0), "full-1", "x"), at(0));
@@ -129,7 +129,7 @@
     REQUIRE(std::holds_alternative<PlacementRefusal>(refused));
     CHECK(std::get<PlacementRefusal>(refused).caller_attempt == CallerAttempt::First);
 
-    SECTION("room comes before the first token is due")
+    SECTION("capacity is available before the deadline")
     {
         scheduler.release("full-1", 2000, at(500));
         scheduler.ask(ask_at(at(600), "second-try", "z"), at(600));
@@ -137,7 +137,7 @@
         REQUIRE(std::holds_alternative<PlacementGrant>(granted));
         CHECK(std::get<PlacementGrant>(granted).caller_attempt == CallerAttempt::Retry);
     }
-    SECTION("it comes too late for that")
+    SECTION("capacity is available only after the deadline")
     {
         scheduler.ask(ask_at(at(1200), "second-try", "z"), at(1200));
         // Unlike a first attempt it keeps waiting, behind requests that can meet their deadline.
--- a/Tests/LibDecision/TestRequestState.cpp
+++ b/Tests/LibDecision/TestRequestState.cpp
@@ -49,7 +49,7 @@
     CHECK(failed > 0);
 }
 
-TEST_CASE("A final phase takes no event", "[twice]")
+TEST_CASE("A terminal phase accepts no event", "[twice]")
 {
     explore({}, 14, [](RequestState const& state) {
         if (!state.is_terminal())
@@ -62,7 +62,7 @@
     });
 }
 
-TEST_CASE("Every phase is reached, and a caller can leave in each that is not final")
+TEST_CASE("Every phase is reachable, and the caller can leave in each that is not terminal")
 {
     std::set<RequestPhase> reached;
     explore({}, 14, [&](RequestState const& state) {
@@ -76,14 +76,14 @@
     CHECK(reached.size() == 11);
 }
 
-TEST_CASE("The usual way of a request ends answered")
+TEST_CASE("The usual sequence of events ends with an answer")
 {
     RequestState state;
     apply_all(state, { RequestEvent::Admit, RequestEvent::PromiseSlot, RequestEvent::DispatchPrefill, RequestEvent::HoldCache, RequestEvent::StartTransfer, RequestEvent::StartDecode, RequestEvent::Finish });
     CHECK(state.outcome() == RequestOutcome::Answered);
 }
 
-TEST_CASE("An event that the table does not know changes nothing and is named")
+TEST_CASE("An event that is not in the table changes nothing and is reported")
 {
     RequestState state;
     auto const result = state.apply(RequestEvent::Finish);
@@ -93,7 +93,7 @@
     CHECK(state.phase() == RequestPhase::Received);
 }
 
-TEST_CASE("After a lost upstream a second place is looked for, and then only giving up is left", "[not-run][kill]")
+TEST_CASE("After a lost upstream a request can be placed again or fail, but not be refused", "[not-run][kill]")
 {
     RequestState state;
     apply_all(state, { RequestEvent::Admit, RequestEvent::PromiseSlot, RequestEvent::DispatchPrefill, RequestEvent::LoseUpstream });
--- a/Tests/LibDecision/TestRetryPolicy.cpp
+++ b/Tests/LibDecision/TestRetryPolicy.cpp
@@ -28,7 +28,7 @@
 
 }
 
-TEST_CASE("What must not be repeated is never sent again once it may have run", "[at-most-once][answer-lost]")
+TEST_CASE("A request that is not repeatable is not sent again once it may have run", "[at-most-once][answer-lost]")
 {
     int sent_again = 0;
     for_all([&](SendOutcome end, SendHistory const& history) {
@@ -44,7 +44,7 @@
     REQUIRE(sent_again > 0);
 }
 
-TEST_CASE("Not run is said only of what has not run", "[not-run][answer-lost]")
+TEST_CASE("A request is reported as not run only if it has not run", "[not-run][answer-lost]")
 {
     int refused = 0;
     for_all([&](SendOutcome end, SendHistory const& history) {
@@ -57,7 +57,7 @@
     REQUIRE(refused > 0);
 }
 
-TEST_CASE("A whole answer is always handed on", "[whole]")
+TEST_CASE("A complete answer is always relayed", "[whole]")
 {
     for_all([](SendOutcome end, SendHistory const& history) {
         if (end == SendOutcome::Success)
@@ -67,7 +67,7 @@
     });
 }
 
-TEST_CASE("An upstream's own failure is tried again only where that is harmless")
+TEST_CASE("An upstream failure is retried only for repeatable requests")
 {
     SendHistory const repeatable { RouteKind::Repeatable, SendHistory::Earlier::MayHaveRun, SendHistory::AnotherSend::Allowed };
     SendHistory const once { RouteKind::NotRepeatable, SendHistory::Earlier::MayHaveRun, SendHistory::AnotherSend::Allowed };
--- a/Tests/LibDecision/TestRoleBalancer.cpp
+++ b/Tests/LibDecision/TestRoleBalancer.cpp
@@ -47,7 +47,7 @@
 
 }
 
-TEST_CASE("The division serves most requests")
+TEST_CASE("The division maximizes throughput")
 {
     struct Row {
         std::size_t engines;
@@ -72,7 +72,7 @@
     CHECK(balancer.wanted_prefill(row.engines, s_capacity) == row.prefill);
 }
 
-TEST_CASE("While nothing is known few engines read, since the others can do both parts")
+TEST_CASE("With an unknown workload few engines are prefill engines")
 {
     struct Row {
         std::size_t engines;
@@ -89,7 +89,7 @@
     CHECK(balancer.wanted_prefill(row.engines, guessed) == row.prefill);
 }
 
-TEST_CASE("Under load nothing is changed before requests and paces are known")
+TEST_CASE("Under load no role is changed before workload and rates are known")
 {
     RoleBalancer balancer({});
     auto guessed = s_capacity;
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("What was learned is kept when no requests come for a while")
+TEST_CASE("The learned division is kept while there are no requests")
 {
     RoleBalancer balancer({});
     auto engines = pool(2, 7);
@@ -141,7 +141,7 @@
 
 // For random lengths, rates and pool sizes, the balancer has to come within a tenth of the best division using only
 // what it observes.
-TEST_CASE("From the safe start the pool comes within a tenth of the best division")
+TEST_CASE("The pool comes within a tenth of the best division from the default one")
 {
     auto const prompt = GENERATE(200, 1500, 5000, 20'000);
     auto const output = GENERATE(50, 600, 2500, 8000);
@@ -168,7 +168,7 @@
     CHECK(served(reading, count - reading, prompt, output, capacity) >= 0.9 * best);
 }
 
-TEST_CASE("A pool that still grows is not divided", "[config]")
+TEST_CASE("A pool that is still growing is not divided", "[config]")
 {
     // At the start of a deployment engines are listed one by one, decode engines first.
     RoleBalancer balancer({});
@@ -186,7 +186,7 @@
     CHECK(change_of_all->role == EngineRole::Decode);
 }
 
-TEST_CASE("Before requests come, all changes are begun at once and no engine is named twice")
+TEST_CASE("Before the first request all changes are ordered at once, each for a different engine")
 {
     RoleBalancer balancer({});
     auto const engines = pool(4, 5);
@@ -203,7 +203,7 @@
     CHECK(balancer.is_changing(first->engine));
 }
 
-TEST_CASE("Under load a change waits until it was wanted for some time, and changes come one by one")
+TEST_CASE("Under load a change requires a lasting shortage, and changes are made one by one")
 {
     RoleBalancer balancer({});
     auto engines = pool(4, 5);
@@ -226,7 +226,7 @@
     CHECK(ordered_at[1] - ordered_at[0] >= 6000);
 }
 
-TEST_CASE("An engine that is back soon turns no role")
+TEST_CASE("An engine that returns soon causes no role change")
 {
     RoleBalancer balancer({});
     auto const whole = pool(2, 7);
@@ -239,7 +239,7 @@
     }
 }
 
-TEST_CASE("Without engines that answer one is made at once, without engines that read after some time")
+TEST_CASE("Without decode engines a role is changed at once, without prefill engines after a delay")
 {
     RoleBalancer balancer({});
     auto const now_settled = settle(balancer, pool(3, 0), 0);
@@ -260,7 +260,7 @@
     CHECK(none_reads->role == EngineRole::Prefill);
 }
 
-TEST_CASE("Roles follow when the requests change, and do not swing back at once")
+TEST_CASE("Roles follow the workload and are not reversed at once")
 {
     RoleBalancer balancer({});
     auto engines = pool(2, 7);
@@ -285,7 +285,7 @@
     CHECK(std::count_if(engines.begin(), engines.end(), [](auto const& engine) { return engine.role == EngineRole::Prefill; }) == 2);
 }
 
-TEST_CASE("A refused order leaves its engine alone for a while, and one that never shows is given up")
+TEST_CASE("An engine that refused an order is not ordered again for a while, and a change without effect is abandoned")
 {
     RoleBalancer balancer({});
     auto const engines = pool(4, 5);
@@ -302,7 +302,7 @@
     CHECK_FALSE(balancer.is_changing(other->engine));
 }
 
-TEST_CASE("Engines that cannot be reached count with their roles and get no order", "[cut]")
+TEST_CASE("Unreachable engines count towards their roles and get no orders", "[cut]")
 {
     RoleBalancer balancer({});
     teach(balancer, 5000, 4400, at(0));
