--- a/Libraries/LibDecision/CellScheduler.cpp
+++ b/Libraries/LibDecision/CellScheduler.cpp
@@ -74,7 +74,7 @@
 
 void CellScheduler::set_engines(std::span<EngineDescription const> descriptions)
 {
-    std::map<std::string, Engine, std::less<>> kept;
+    std::map<std::string, Engine, std::less<>> remaining;
     for (auto const& description : descriptions) {
         auto const found = this->engines.find(description.name);
         bool const is_known = found != this->engines.end();
@@ -91,14 +91,14 @@
             engine.step_time = measured != this->model_step_times.end() ? measured->second : this->options.initial_step_time;
         }
         engine.description = description;
-        kept.emplace(description.name, std::move(engine));
+        remaining.emplace(description.name, std::move(engine));
     }
-    this->engines = std::move(kept);
+    this->engines = std::move(remaining);
 }
 
 void CellScheduler::set_accounts(std::span<AccountDescription const> descriptions, MonotonicTime now)
 {
-    std::map<std::string, Account, std::less<>> kept;
+    std::map<std::string, Account, std::less<>> remaining;
     for (auto const& description : descriptions) {
         auto const found = this->accounts.find(description.name);
         bool const same_limit = found != this->accounts.end()
@@ -107,9 +107,9 @@
         // Changing the weight must not refill the bucket, otherwise frequent changes would bypass the rate limit.
         auto bucket = same_limit ? found->second.bucket : TokenBucket(description.requests_per_second, description.burst, now);
         double const served = found != this->accounts.end() ? found->second.served : 0;
-        kept.emplace(description.name, Account { description, bucket, served });
+        remaining.emplace(description.name, Account { description, bucket, served });
     }
-    this->accounts = std::move(kept);
+    this->accounts = std::move(remaining);
 }
 
 void CellScheduler::report(std::string_view name, EngineReport const& report, MonotonicTime now)
@@ -149,7 +149,7 @@
         this->remove_granted(request, now);
 }
 
-void CellScheduler::forget_origin(std::string_view origin, MonotonicTime now)
+void CellScheduler::remove_origin(std::string_view origin, MonotonicTime now)
 {
     std::erase_if(this->waiting, [&](auto const& ask) { return ask.origin == origin; });
     std::vector<std::string> orphans;
@@ -198,11 +198,11 @@
 // A decode engine interleaves prefill chunks with decode steps, at half the rate of a prefill engine or slightly less.
 Duration CellScheduler::compute_time(Engine const& engine, std::int64_t tokens) const
 {
-    auto const usual = to_seconds(this->prefill_rate_of(engine).compute_time(tokens));
+    auto const expected_time = to_seconds(this->prefill_rate_of(engine).compute_time(tokens));
     if (engine.description.role == EngineRole::Prefill)
-        return from_seconds(usual * engine.slowness);
+        return from_seconds(expected_time * engine.slowness);
     auto const stretch = this->decode_prefill_stretch.find(engine.description.model);
-    return from_seconds(usual / DECODE_PREFILL_RELATIVE_RATE * (stretch == this->decode_prefill_stretch.end() ? INITIAL_DECODE_PREFILL_STRETCH : stretch->second));
+    return from_seconds(expected_time / DECODE_PREFILL_RELATIVE_RATE * (stretch == this->decode_prefill_stretch.end() ? INITIAL_DECODE_PREFILL_STRETCH : stretch->second));
 }
 
 // The latency of a result can only be measured for a prompt that was not queued behind another.
@@ -213,20 +213,20 @@
         return;
     auto& estimator = this->prefill_rates.find(engine.description.model)->second;
     if (engine.description.role == EngineRole::Decode) {
-        if (prefill.has_queued)
+        if (prefill.was_queued)
             return;
         auto& stretch = this->decode_prefill_stretch.try_emplace(engine.description.model, INITIAL_DECODE_PREFILL_STRETCH).first->second;
-        auto const reading = to_seconds(estimator.compute_time(prefill.tokens)) / DECODE_PREFILL_RELATIVE_RATE;
-        stretch += RATE_SMOOTHING * (to_seconds(taken - estimator.latency()) / reading - stretch);
+        auto const nominal_time = to_seconds(estimator.compute_time(prefill.tokens)) / DECODE_PREFILL_RELATIVE_RATE;
+        stretch += RATE_SMOOTHING * (to_seconds(taken - estimator.latency()) / nominal_time - stretch);
         stretch = std::clamp(stretch, 1.0, MAXIMUM_DECODE_PREFILL_STRETCH);
         return;
     }
-    if (!prefill.has_queued)
+    if (!prefill.was_queued)
         estimator.add_sample(prefill.tokens, taken);
     if (!estimator.is_known())
         return;
-    auto const usual = to_seconds(estimator.compute_time(prefill.tokens) + estimator.latency());
-    engine.slowness += RATE_SMOOTHING * (to_seconds(taken) / usual - engine.slowness);
+    auto const expected_time = to_seconds(estimator.compute_time(prefill.tokens) + estimator.latency());
+    engine.slowness += RATE_SMOOTHING * (to_seconds(taken) / expected_time - engine.slowness);
     engine.slowness = std::clamp(engine.slowness, MINIMUM_SLOWNESS, MAXIMUM_SLOWNESS);
 }
 
@@ -313,7 +313,7 @@
     found->second.forecast.reset();
 }
 
-void CellScheduler::learn_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now)
+void CellScheduler::update_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now)
 {
     auto const engine = this->engines.find(granted.decode_engine);
     if (this->options.report_need == Options::ReportNeed::Required || granted.phase != GrantProgress::Decoding || output_tokens < MINIMUM_STEP_TIME_TOKENS || engine == this->engines.end())
@@ -482,7 +482,7 @@
     granted.last_seen = now;
     granted.decode_from = now - age;
     this->hold_slot(decode->second, ask.request);
-    auto const prefill = this->engines.find(granted.reader());
+    auto const prefill = this->engines.find(granted.prefilling_engine());
     if (progress == GrantProgress::Prefilling && prefill != this->engines.end())
         prefill->second.prefills.push_back({ ask.request, ask.prompt_tokens, now, true });
     auto const request = ask.request;
@@ -504,7 +504,7 @@
     if (found != this->granted.end()) {
         if (output_tokens > 0)
             this->output_estimate(found->second.ask.model).add(static_cast<double>(output_tokens));
-        this->learn_step_time(found->second, output_tokens, now);
+        this->update_step_time(found->second, output_tokens, now);
         this->remove_granted(found->first, now);
     }
     this->schedule(now);
@@ -515,7 +515,7 @@
     // NOTE: The name is copied because the caller's reference may point into the node that is erased.
     auto const found = this->granted.find(request);
     VERIFY(found != this->granted.end());
-    this->end_prefill(found->second.reader(), request, now);
+    this->end_prefill(found->second.prefilling_engine(), request, now);
     this->released.insert_or_assign(request, now);
     this->free_slot(found->second.decode_engine, request);
     this->granted.erase(found);
@@ -592,10 +592,10 @@
     };
     std::map<std::pair<std::string_view, EngineRole>, SlotCount> slots_by_role;
     for (auto const& [name, engine] : this->engines) {
-        bool const reads = engine.description.role == EngineRole::Prefill;
+        bool const runs_prefills = engine.description.role == EngineRole::Prefill;
         auto& role_slots = slots_by_role[{ engine.description.model, engine.description.role }];
-        role_slots.taken += static_cast<std::int64_t>(reads ? engine.prefills.size() : engine.slots.size());
-        role_slots.all += reads ? PREFILL_ENGINE_SLOTS : engine.description.decode_slots;
+        role_slots.taken += static_cast<std::int64_t>(runs_prefills ? engine.prefills.size() : engine.slots.size());
+        role_slots.all += runs_prefills ? PREFILL_ENGINE_SLOTS : engine.description.decode_slots;
     }
     for (auto const& [model_and_role, slot_count] : slots_by_role) {
         if (static_cast<double>(slot_count.taken) > share * static_cast<double>(slot_count.all))
--- a/Libraries/LibDecision/CellScheduler.h
+++ b/Libraries/LibDecision/CellScheduler.h
@@ -289,7 +289,7 @@
     void release(std::string_view request, std::int64_t output_tokens, MonotonicTime now);
 
     /// Releases the grants of an origin whose process is dead. Slots that engines still report as held stay occupied.
-    void forget_origin(std::string_view origin, MonotonicTime now);
+    void remove_origin(std::string_view origin, MonotonicTime now);
     /// Origins that hold a grant or wait for one.
     std::set<std::string> origins() const;
 
@@ -351,7 +351,7 @@
         std::int64_t tokens = 0;
         MonotonicTime started;
         /// Whether another prompt was queued ahead of this one.
-        bool has_queued = false;
+        bool was_queued = false;
     };
 
     struct Engine {
@@ -395,7 +395,7 @@
         MonotonicTime decode_from;
 
         /// The engine that runs the prefill: the decode engine if there is no prefill engine.
-        std::string const& reader() const { return this->prefill_engine.empty() ? this->decode_engine : this->prefill_engine; }
+        std::string const& prefilling_engine() const { return this->prefill_engine.empty() ? this->decode_engine : this->prefill_engine; }
     };
 
     struct Account {
@@ -424,12 +424,12 @@
     void mark_last_resorts(MonotonicTime now);
     bool has_usable_prefill(PlacementAsk const& ask, MonotonicTime now) const;
     /// Why a decode engine runs a prefill.
-    enum class DecodePrefillReason {
+    enum class DecodePrefillCause {
         NoPrefillEngine,
         Overflow,
     };
     std::optional<Placement> find_cached(PlacementAsk const& ask, MonotonicTime now) const;
-    std::optional<Placement> find_decode_prefill(PlacementAsk const& ask, DecodePrefillReason need, MonotonicTime now) const;
+    std::optional<Placement> find_decode_prefill(PlacementAsk const& ask, DecodePrefillCause cause, MonotonicTime now) const;
     bool can_run_prefill(Engine const& engine, PlacementAsk const& ask, MonotonicTime now) const;
     bool is_overflow_due(PlacementAsk const& ask, MonotonicTime now) const;
     std::optional<MonotonicTime> best_disaggregated(PlacementAsk const& ask, MonotonicTime now) const;
@@ -477,11 +477,11 @@
     Duration mean_step_time(std::string_view model) const;
     AnswerForecast answer_forecast(PlacementAsk const& ask, double generated_tokens) const;
     double usable_memory(Engine const& engine) const;
-    bool may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const;
+    bool is_eligible(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const;
     bool has_capacity(Engine const& engine, PlacementAsk const& ask, MonotonicTime now, MonotonicTime when) const;
     std::int64_t free_slots(Engine const& engine, MonotonicTime now, MonotonicTime when) const;
     std::optional<MonotonicTime> earliest_capacity(PlacementAsk const& ask, MonotonicTime now) const;
-    void learn_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now);
+    void update_step_time(Granted const& granted, std::int64_t output_tokens, MonotonicTime now);
     MonotonicTime predicted_release(Granted const& granted) const;
     Duration prefill_time(Engine const& engine, PlacementAsk const& ask) const;
     Duration transfer_time(Engine const& engine, PlacementAsk const& ask) const;
--- a/Libraries/LibDecision/CellSchedulerPlacement.cpp
+++ b/Libraries/LibDecision/CellSchedulerPlacement.cpp
@@ -75,7 +75,7 @@
 bool CellScheduler::has_usable_prefill(PlacementAsk const& ask, MonotonicTime now) const
 {
     return std::any_of(this->engines.begin(), this->engines.end(), [&](auto const& entry) {
-        return this->may_take(entry.second, EngineRole::Prefill, ask, now);
+        return this->is_eligible(entry.second, EngineRole::Prefill, ask, now);
     });
 }
 
@@ -106,7 +106,7 @@
     if (known == this->cached.end() || this->options.policy.decode_prefill == SchedulerPolicy::DecodePrefill::Off)
         return {};
     auto const found = this->engines.find(known->second.engine);
-    if (found == this->engines.end() || !this->may_take(found->second, EngineRole::Decode, ask, now))
+    if (found == this->engines.end() || !this->is_eligible(found->second, EngineRole::Decode, ask, now))
         return {};
     auto const& engine = found->second;
     Placement placement;
@@ -120,13 +120,13 @@
     return placement;
 }
 
-std::optional<CellScheduler::Placement> CellScheduler::find_decode_prefill(PlacementAsk const& ask, DecodePrefillReason need, MonotonicTime now) const
+std::optional<CellScheduler::Placement> CellScheduler::find_decode_prefill(PlacementAsk const& ask, DecodePrefillCause cause, MonotonicTime now) const
 {
     std::vector<PlacementCandidate> candidates;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Decode, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Decode, ask, now))
             continue;
-        if (need == DecodePrefillReason::Overflow && !this->can_run_prefill(engine, ask, now))
+        if (cause == DecodePrefillCause::Overflow && !this->can_run_prefill(engine, ask, now))
             continue;
         auto const ready = this->busy_until(engine, now) + this->prefill_time(engine, ask);
         if (this->has_capacity(engine, ask, now, ready - this->options.safety_margin))
@@ -181,9 +181,9 @@
         placement = this->find_placement(this->waiting[index], now);
     bool const is_disaggregated_on_time = placement && this->is_on_time(*placement, this->waiting[index]);
     if (!is_disaggregated_on_time && this->is_overflow_due(this->waiting[index], now)) {
-        auto const own = this->find_decode_prefill(this->waiting[index], DecodePrefillReason::Overflow, now);
-        if (own && this->is_on_time(*own, this->waiting[index]))
-            placement = own;
+        auto const overflow = this->find_decode_prefill(this->waiting[index], DecodePrefillCause::Overflow, now);
+        if (overflow && this->is_on_time(*overflow, this->waiting[index]))
+            placement = overflow;
     }
     if (!placement)
         return ScheduleStep::MustWait;
@@ -226,16 +226,16 @@
             is_before = false;
             continue;
         }
-        bool const goes_first = this->precedes(other, ask) || (is_before && !this->precedes(ask, other));
-        if (other.model == ask.model && goes_first)
+        bool const is_ahead = this->precedes(other, ask) || (is_before && !this->precedes(ask, other));
+        if (other.model == ask.model && is_ahead)
             tokens += static_cast<double>(other.prompt_tokens + other.relayed_tokens);
     }
     if (tokens == 0)
         return {};
     double rate = 0;
     for (auto const& [name, engine] : this->engines) {
-        bool const reads = engine.description.role == EngineRole::Prefill || this->options.policy.decode_prefill == SchedulerPolicy::DecodePrefill::Overflow;
-        if (reads && this->may_take(engine, engine.description.role, ask, now))
+        bool const runs_prefills = engine.description.role == EngineRole::Prefill || this->options.policy.decode_prefill == SchedulerPolicy::DecodePrefill::Overflow;
+        if (runs_prefills && this->is_eligible(engine, engine.description.role, ask, now))
             rate += 1 / std::max(1e-9, to_seconds(this->compute_time(engine, RATE_REFERENCE_TOKENS)));
     }
     return rate > 0 ? from_seconds(tokens / (rate * static_cast<double>(RATE_REFERENCE_TOKENS))) : Duration::zero();
@@ -345,7 +345,7 @@
 {
     std::vector<PlacementCandidate> candidates;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Prefill, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Prefill, ask, now))
             continue;
         auto const start = this->busy_until(engine, now);
         if (start - now > this->options.prefill_ahead)
@@ -360,7 +360,7 @@
 {
     std::optional<MonotonicTime> best;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Prefill, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Prefill, ask, now))
             continue;
         auto const first = this->busy_until(engine, now) + this->prefill_time(engine, ask) + this->transfer_time(engine, ask) + engine.step_time + this->expected_lateness();
         best = best ? std::min(*best, first) : first;
@@ -372,7 +372,7 @@
 {
     std::optional<MonotonicTime> best;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Decode, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Decode, ask, now))
             continue;
         auto const first = this->busy_until(engine, now) + this->prefill_time(engine, ask);
         best = best ? std::min(*best, first) : first;
@@ -401,7 +401,7 @@
 {
     std::optional<MonotonicTime> earliest;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Decode, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Decode, ask, now))
             continue;
         if (this->has_capacity(engine, ask, now, now))
             return now;
@@ -414,7 +414,7 @@
 }
 
 // Whether the engine is eligible for a part of the request, regardless of its capacity and queue.
-bool CellScheduler::may_take(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const
+bool CellScheduler::is_eligible(Engine const& engine, EngineRole role, PlacementAsk const& ask, MonotonicTime now) const
 {
     auto const& description = engine.description;
     bool const is_excluded = std::find(ask.excluded_engines.begin(), ask.excluded_engines.end(), description.name) != ask.excluded_engines.end();
@@ -430,12 +430,12 @@
 AnswerForecast CellScheduler::answer_forecast(PlacementAsk const& ask, double generated_tokens) const
 {
     auto const estimate = this->output_estimates.find(ask.model);
-    auto const learned = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
+    auto const estimated_tokens = estimate == this->output_estimates.end() ? INITIAL_OUTPUT_ESTIMATE_TOKENS : estimate->second.estimate();
     AnswerForecast answer;
     answer.prompt_tokens = static_cast<double>(ask.prompt_tokens + ask.relayed_tokens);
     answer.generated_tokens = generated_tokens;
-    answer.expected_tokens = ask.expected_output_tokens > 0 ? static_cast<double>(ask.expected_output_tokens) : learned;
-    answer.maximum_tokens = ask.maximum_output_tokens > 0 ? static_cast<double>(ask.maximum_output_tokens) : 4 * learned;
+    answer.expected_tokens = ask.expected_output_tokens > 0 ? static_cast<double>(ask.expected_output_tokens) : estimated_tokens;
+    answer.maximum_tokens = ask.maximum_output_tokens > 0 ? static_cast<double>(ask.maximum_output_tokens) : 4 * estimated_tokens;
     return answer;
 }
 
@@ -477,8 +477,8 @@
             continue;
         auto const& running = found->second;
         bool const is_decoding = running.phase == GrantProgress::Decoding;
-        double const made = is_decoding ? to_seconds(now - running.decode_from) / std::max(1e-6, to_seconds(engine.step_time)) : 0;
-        auto answer = this->answer_forecast(running.ask, made);
+        double const generated = is_decoding ? to_seconds(now - running.decode_from) / std::max(1e-6, to_seconds(engine.step_time)) : 0;
+        auto answer = this->answer_forecast(running.ask, generated);
         // An answer that has exceeded its limit by this estimate is about to end.
         answer.generated_tokens = std::min(answer.generated_tokens, answer.maximum_tokens - 1);
         forecast.add(answer, engine.step_time);
@@ -507,7 +507,7 @@
 {
     auto const candidates = this->prefill_candidates(ask, now);
     if (candidates.empty() && this->options.policy.decode_prefill != SchedulerPolicy::DecodePrefill::Off && !this->has_usable_prefill(ask, now))
-        return this->find_decode_prefill(ask, DecodePrefillReason::NoPrefillEngine, now);
+        return this->find_decode_prefill(ask, DecodePrefillCause::NoPrefillEngine, now);
     if (candidates.empty())
         return {};
     auto const& chosen = candidates[this->options.policy.choose_prefill(candidates)];
@@ -533,7 +533,7 @@
 {
     std::vector<PlacementCandidate> candidates;
     for (auto const& [name, engine] : this->engines) {
-        if (!this->may_take(engine, EngineRole::Decode, ask, now))
+        if (!this->is_eligible(engine, EngineRole::Decode, ask, now))
             continue;
         auto const ready = placement.prefill_end + this->transfer_time(engine, ask);
         auto const promised = ready - this->options.safety_margin;
@@ -596,10 +596,10 @@
     granted.last_seen = now;
     granted.predicted_first_token = placement.first_token;
     auto& decode = this->engines.find(placement.decode)->second;
-    auto& reader = prefill != this->engines.end() ? prefill->second : decode;
+    auto& prefilling_engine = prefill != this->engines.end() ? prefill->second : decode;
     // The prefill of a cached prompt is no measure of the prefill rate.
     bool const is_cached = placement.tokens < ask.prompt_tokens + ask.relayed_tokens;
-    reader.prefills.push_back({ ask.request, placement.tokens, now, is_cached || !reader.prefills.empty() });
+    prefilling_engine.prefills.push_back({ ask.request, placement.tokens, now, is_cached || !prefilling_engine.prefills.empty() });
     this->hold_slot(decode, ask.request);
     for (auto* engine : { prefill != this->engines.end() ? &prefill->second : nullptr, &decode }) {
         if (engine)
--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/EngineKeeper.cpp
@@ -355,7 +355,7 @@
     auto const is_live = [this](std::string const& origin) { return origin == this->kernel.incarnation() || this->kernel.directory().find_incarnation(origin); };
     for (auto const& origin : this->missing_origins.take_dead(this->scheduler.origins(), is_live, ORIGIN_GRACE, now)) {
         LogLine("origin_gone").with("origin", origin);
-        this->scheduler.forget_origin(origin, now);
+        this->scheduler.remove_origin(origin, now);
     }
 }
 
--- a/Services/PlacementServer/CellKeeper.cpp
+++ b/Services/PlacementServer/CellKeeper.cpp
@@ -339,7 +339,7 @@
     auto const is_live = [this](std::string const& origin) { return this->kernel.directory().find_incarnation(origin).has_value(); };
     for (auto const& origin : this->missing_origins.take_dead(this->scheduler.origins(), is_live, this->options.origin_grace, now)) {
         LogLine("origin_gone").with("origin", origin);
-        this->scheduler.forget_origin(origin, now);
+        this->scheduler.remove_origin(origin, now);
     }
 }
 
--- a/Tests/Exploration/World.cpp
+++ b/Tests/Exploration/World.cpp
@@ -461,7 +461,7 @@
     }
     for (auto const& entry : this->entries) {
         if (!entry.is_alive && this->now - entry.died_at >= DETECTION + seconds(2))
-            keeper.scheduler->forget_origin(entry.incarnation, this->now);
+            keeper.scheduler->remove_origin(entry.incarnation, this->now);
     }
     keeper.scheduler->advance(this->now);
     this->take_decisions(number);
--- a/Tests/LibDecision/TestCellScheduler.cpp
+++ b/Tests/LibDecision/TestCellScheduler.cpp
@@ -394,7 +394,7 @@
     cell.decode("r1", 10);
     cell.decode("r2", 10);
     cell.decisions();
-    cell.scheduler.forget_origin("entry-1", at_milliseconds(100));
+    cell.scheduler.remove_origin("entry-1", at_milliseconds(100));
     cell.reports["d0"].held = { { "r1", "entry-1", "a", HeldWork::Reader::None } };
     cell.report_all(at_milliseconds(110));
     cell.ask("r3", 120, 100);
