--- a/Services/ConfigServer/MembershipService.cpp
+++ b/Services/ConfigServer/MembershipService.cpp
@@ -71,7 +71,7 @@
         this->probe(target, this->endpoint_of(target), 1);
 }
 
-bool MembershipService::is_cut_off() const { return this->cut_detector.is_cut_off(monotonic_now()); }
+bool MembershipService::is_cut_off() const { return this->partition_detector.is_cut_off(monotonic_now()); }
 
 VirtualMachineCount MembershipService::count() const
 {
@@ -80,20 +80,20 @@
     return this->table.count();
 }
 
-void MembershipService::note_unanswered(std::string const& virtual_machine)
+void MembershipService::note_probe_failure(std::string const& virtual_machine)
 {
     auto const member = this->table.find(virtual_machine);
     if (!member || !this->is_elsewhere(*member))
         return;
     auto const live = this->table.live_members();
-    this->cut_detector.note_unanswered(virtual_machine, static_cast<std::size_t>(std::count_if(live.begin(), live.end(), [this](auto const& other) { return this->is_elsewhere(other); })));
+    this->partition_detector.note_probe_failure(virtual_machine, static_cast<std::size_t>(std::count_if(live.begin(), live.end(), [this](auto const& other) { return this->is_elsewhere(other); })));
 }
 
 void MembershipService::note_heard(std::string const& virtual_machine)
 {
     auto const member = this->table.find(virtual_machine);
     if (member && this->is_elsewhere(*member))
-        this->cut_detector.note_heard(monotonic_now());
+        this->partition_detector.note_heard(monotonic_now());
     auto const now = monotonic_now();
     // What it knows of the others may be as old as its solitude.
     if (this->last_heard && !this->has_company())
@@ -193,7 +193,7 @@
             when_answered();
         if (!reply.is_error() && reply.value().has_heartbeat_reply())
             return this->take_answer(reply.value().heartbeat_reply(), endpoint);
-        this->note_unanswered(virtual_machine);
+        this->note_probe_failure(virtual_machine);
         if (tries_left > 1)
             return this->probe(virtual_machine, endpoint, tries_left - 1);
         if (virtual_machine.empty() || reply.error().kind == WireErrorKind::Stopped)
--- a/Services/ConfigServer/MembershipService.h
+++ b/Services/ConfigServer/MembershipService.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-#include <LibDecision/CutDetector.h>
 #include <LibDecision/EvacuationBook.h>
 #include <LibDecision/MembershipTable.h>
+#include <LibDecision/PartitionDetector.h>
 #include <LibWire/Kernel.h>
 #include <functional>
 #include <map>
@@ -117,7 +117,7 @@
     void tell_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation>& messages) const;
     void hear_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages);
     void note_heard(std::string const& virtual_machine);
-    void note_unanswered(std::string const& virtual_machine);
+    void note_probe_failure(std::string const& virtual_machine);
     /// Whether the VM is of another data centre.
     bool is_elsewhere(MemberRecord const& member) const { return this->data_centre_of(member) != this->data_centre_of(this->table.self()); }
     void answer_keys(wire::Heartbeat const& heartbeat, std::size_t most, wire::HeartbeatReply& reply) const;
@@ -147,7 +147,7 @@
     MonotonicTime last_compared;
     std::optional<MonotonicTime> last_heard;
     MembershipTable::DataCentreOf data_centre_of = [](auto const&) { return std::string(); };
-    CutDetector cut_detector { CutDetector::Options {} };
+    PartitionDetector partition_detector { PartitionDetector::Options {} };
     std::map<std::string, LocalProcess> processes;
     std::vector<std::string> leaving_machines;
 };
--- a/Tests/LibDecision/TestCutDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/CutDetector.h>
+#include <LibDecision/PartitionDetector.h>
 #include <Tests/Support/VirtualClock.h>
 #include <catch2/catch.hpp>
 #include <random>
@@ -28,10 +28,10 @@
         { "too few tries", { "a", "b", "c", "d", "e" }, 9, 5000, false },
     }));
     CAPTURE(row.name);
-    CutDetector detector({});
+    PartitionDetector detector({});
     detector.note_heard(at_milliseconds(0));
     for (auto const& name : row.unanswered)
-        detector.note_unanswered(name, row.known_elsewhere);
+        detector.note_probe_failure(name, row.known_elsewhere);
     CHECK(detector.is_cut_off(at_milliseconds(row.silence)) == row.is_cut);
     detector.note_heard(at_milliseconds(row.silence));
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(row.silence + 5000)));
@@ -39,9 +39,9 @@
 
 TEST_CASE("A VM that never heard of others knows of no cut")
 {
-    CutDetector detector({});
+    PartitionDetector detector({});
     for (auto const* name : { "a", "b", "c", "a", "b", "c", "d" })
-        detector.note_unanswered(name, 4);
+        detector.note_probe_failure(name, 4);
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(60'000)));
 }
 
@@ -54,7 +54,7 @@
         : members(members)
         , loss(loss)
         , random(seed)
-        , detectors(data_centres * members, CutDetector({}))
+        , detectors(data_centres * members, PartitionDetector({}))
         , offset(data_centres * members)
         , is_dead(data_centres * members)
     {
@@ -135,7 +135,7 @@
             return;
         }
         if (is_elsewhere)
-            this->detectors[from].note_unanswered("vm-" + std::to_string(to), this->detectors.size() - this->members);
+            this->detectors[from].note_probe_failure("vm-" + std::to_string(to), this->detectors.size() - this->members);
         if (tries > 1)
             this->retries.push_back({ from, to, tries - 1, this->now + 150 });
     }
@@ -143,7 +143,7 @@
     std::size_t members;
     double loss;
     std::mt19937_64 random;
-    std::vector<CutDetector> detectors;
+    std::vector<PartitionDetector> detectors;
     std::vector<std::int64_t> offset;
     std::vector<bool> is_dead;
     std::vector<Retry> retries;
