--- a/Libraries/LibDecision/EvacuationBook.cpp
+++ b/Libraries/LibDecision/EvacuationTable.cpp
@@ -1,12 +1,12 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <algorithm>
 
 namespace Spurtide {
 
-std::vector<Evacuation> EvacuationBook::take(EvacuationNews const& news)
+std::vector<Evacuation> EvacuationTable::take(EvacuationNews const& news)
 {
     auto told = news.evacuations;
     if (news.extent == EvacuationNews::Extent::Whole) {
@@ -29,13 +29,13 @@
     return changes;
 }
 
-bool EvacuationBook::is_evacuated(std::string_view data_centre) const
+bool EvacuationTable::is_evacuated(std::string_view data_centre) const
 {
     auto const found = this->known.find(data_centre);
     return found != this->known.end() && found->second.state == Evacuation::State::Ordered;
 }
 
-std::vector<Evacuation> EvacuationBook::all() const
+std::vector<Evacuation> EvacuationTable::all() const
 {
     std::vector<Evacuation> all;
     all.reserve(this->known.size());
--- a/Libraries/LibDecision/EvacuationBook.h
+++ b/Libraries/LibDecision/EvacuationTable.h
@@ -40,7 +40,7 @@
 
 /// Which data centres are evacuated. What VMs know of it can be merged in any order: the last change of each data centre
 /// holds, and an end is remembered like an order, so that late news of the order don't bring it back.
-class EvacuationBook {
+class EvacuationTable {
 public:
     /// Gives the changes that were news.
     std::vector<Evacuation> take(EvacuationNews const& news);
--- a/Libraries/LibDecision/UpstreamList.cpp
+++ b/Libraries/LibDecision/UpstreamList.cpp
@@ -143,12 +143,12 @@
 
 void UpstreamList::judge_life(Entry& entry) const
 {
-    entry.record.life = this->evacuation_book.is_evacuated(entry.record.data_centre) ? UpstreamRecord::Life::Leaving : entry.announced_life;
+    entry.record.life = this->evacuation_table.is_evacuated(entry.record.data_centre) ? UpstreamRecord::Life::Leaving : entry.announced_life;
 }
 
 std::vector<Evacuation> UpstreamList::take(EvacuationNews const& news)
 {
-    auto changes = this->evacuation_book.take(news);
+    auto changes = this->evacuation_table.take(news);
     if (!changes.empty()) {
         for (auto& [identity, entry] : this->entries)
             this->judge_life(entry);
--- a/Libraries/LibDecision/UpstreamList.h
+++ b/Libraries/LibDecision/UpstreamList.h
@@ -5,7 +5,7 @@
 
 #include <LibCore/Time.h>
 #include <LibDecision/CellScheduler.h>
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -100,7 +100,7 @@
     void take(UpstreamListing const& listing, MonotonicTime now);
     /// Gives the changes that were news.
     std::vector<Evacuation> take(EvacuationNews const& news);
-    EvacuationBook const& evacuations() const { return this->evacuation_book; }
+    EvacuationTable const& evacuations() const { return this->evacuation_table; }
     /// Lets time pass; true where a kept entry was dropped.
     bool advance(MonotonicTime now);
 
@@ -134,7 +134,7 @@
 
     Options options;
     std::map<std::string, Entry, std::less<>> entries;
-    EvacuationBook evacuation_book;
+    EvacuationTable evacuation_table;
     std::int64_t current_version = 0;
     /// The version with which each of them ended. Those before the next are not all known.
     std::map<std::string, std::int64_t, std::less<>> ends;
--- a/Libraries/LibRouter/RegistryPort.h
+++ b/Libraries/LibRouter/RegistryPort.h
@@ -5,7 +5,7 @@
 
 #include <LibCore/Result.h>
 #include <LibCore/Time.h>
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <LibDecision/RouteTable.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibPlatform/PlatformError.h>
--- a/Libraries/LibWire/WireUpstreams.cpp
+++ b/Libraries/LibWire/WireUpstreams.cpp
@@ -66,7 +66,7 @@
     return listing;
 }
 
-void write_evacuations(EvacuationBook const& book, google::protobuf::RepeatedPtrField<wire::Evacuation>& messages)
+void write_evacuations(EvacuationTable const& book, google::protobuf::RepeatedPtrField<wire::Evacuation>& messages)
 {
     for (auto const& evacuation : book.all()) {
         auto* message = messages.Add();
--- a/Services/ConfigServer/MembershipService.h
+++ b/Services/ConfigServer/MembershipService.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <LibDecision/MembershipTable.h>
 #include <LibDecision/PartitionDetector.h>
 #include <LibWire/Kernel.h>
@@ -72,7 +72,7 @@
     }
 
     /// Makes evacuations part of the heartbeats, so that a VM hears of them from any other that it reaches.
-    void set_evacuation_hooks(std::function<EvacuationBook const&()> book, std::function<void(EvacuationNews const&)> on_told)
+    void set_evacuation_hooks(std::function<EvacuationTable const&()> book, std::function<void(EvacuationNews const&)> on_told)
     {
         this->evacuations = std::move(book);
         this->on_evacuations = std::move(on_told);
@@ -139,7 +139,7 @@
     std::function<std::uint64_t()> quarantine_digest = [] { return std::uint64_t(0); };
     std::function<void(std::string const& endpoint, std::uint64_t digest)> on_quarantine_digest = [](auto const&, auto) {};
     /// Empty where there are none to tell of.
-    std::function<EvacuationBook const&()> evacuations;
+    std::function<EvacuationTable const&()> evacuations;
     std::function<void(EvacuationNews const&)> on_evacuations;
     MembershipTable table;
     MonotonicTime started_at;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -113,7 +113,7 @@
     this->membership = std::make_unique<MembershipService>(
         members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->hear_of_configuration(endpoint, version); });
     this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->hear_of_upstreams(endpoint, version); });
-    this->membership->set_evacuation_hooks([this]() -> EvacuationBook const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
+    this->membership->set_evacuation_hooks([this]() -> EvacuationTable const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
     KeeperRanking::Hooks ranking_hooks;
--- a/Services/NodeServer/NodeMetrics.h
+++ b/Services/NodeServer/NodeMetrics.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <LibCore/Metrics.h>
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <cstddef>
 #include <cstdint>
 #include <vector>
--- a/Tests/LibDecision/TestEvacuationBook.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <LibDecision/UpstreamList.h>
 #include <Tests/Support/VirtualClock.h>
 #include <algorithm>
@@ -37,7 +37,7 @@
 
 TEST_CASE("Late news of an evacuation that is over does not bring it back", "[evacuation]")
 {
-    EvacuationBook book;
+    EvacuationTable book;
     REQUIRE(book.take(change("a", 5)).size() == 1);
     REQUIRE(book.take(change("a", 9, State::Over)).size() == 1);
     CHECK(book.take(change("a", 5)).empty());
@@ -52,7 +52,7 @@
 
 TEST_CASE("A whole reading ends what is not in it, but for what was ordered after it", "[evacuation][platform-down]")
 {
-    EvacuationBook book;
+    EvacuationTable book;
     book.take(change("a", 5));
     book.take(change("b", 20));
     auto const changes = book.take(whole(12, { { "c", 3, State::Ordered } }));
@@ -69,13 +69,13 @@
 {
     std::vector<EvacuationNews> news { change("a", 3), change("b", 4), whole(6, { { "b", 4, State::Ordered } }), change("a", 8), change("b", 9, State::Over), change("c", 10) };
     std::sort(news.begin(), news.end(), [](auto const& one, auto const& other) { return one.evacuations.size() < other.evacuations.size(); });
-    EvacuationBook expected;
+    EvacuationTable expected;
     for (auto const& one : { change("a", 8), change("b", 9, State::Over), change("c", 10) })
         expected.take(one);
     std::vector<std::size_t> order { 0, 1, 2, 3, 4, 5 };
     do {
-        EvacuationBook here;
-        EvacuationBook there;
+        EvacuationTable here;
+        EvacuationTable there;
         for (std::size_t i = 0; i < order.size(); ++i)
             (i % 2 == 0 ? here : there).take(news[order[i]]);
         here.take({ EvacuationNews::Extent::Changes, there.all(), 0 });
