--- a/Libraries/LibDecision/EvacuationTable.cpp
+++ b/Libraries/LibDecision/EvacuationTable.cpp
@@ -6,10 +6,10 @@
 
 namespace Spurtide {
 
-std::vector<Evacuation> EvacuationTable::take(EvacuationNews const& news)
+std::vector<Evacuation> EvacuationTable::take(EvacuationUpdate const& news)
 {
     auto told = news.evacuations;
-    if (news.extent == EvacuationNews::Extent::Whole) {
+    if (news.extent == EvacuationUpdate::Extent::Snapshot) {
         auto const is_listed = [&](std::string const& data_centre) { return std::any_of(news.evacuations.begin(), news.evacuations.end(), [&](auto const& other) { return other.data_centre == data_centre; }); };
         for (auto const& [data_centre, evacuation] : this->known) {
             if (evacuation.state == Evacuation::State::Ordered && !is_listed(data_centre))
--- a/Libraries/LibDecision/EvacuationTable.h
+++ b/Libraries/LibDecision/EvacuationTable.h
@@ -27,12 +27,12 @@
 };
 
 /// What was heard of evacuations: what changed, or all that are ordered as of a position.
-struct EvacuationNews {
+struct EvacuationUpdate {
     enum class Extent {
-        Whole,
-        Changes,
+        Snapshot,
+        Delta,
     } extent
-        = Extent::Changes;
+        = Extent::Delta;
     std::vector<Evacuation> evacuations;
     /// Of the whole alone: the registry's version as of which it holds.
     std::int64_t position = 0;
@@ -43,7 +43,7 @@
 class EvacuationTable {
 public:
     /// Gives the changes that were news.
-    std::vector<Evacuation> take(EvacuationNews const& news);
+    std::vector<Evacuation> take(EvacuationUpdate const& news);
 
     bool is_evacuated(std::string_view data_centre) const;
     /// Orders and ends, as they are told to others.
--- a/Libraries/LibDecision/UpstreamList.cpp
+++ b/Libraries/LibDecision/UpstreamList.cpp
@@ -107,7 +107,7 @@
     UpstreamListing listing;
     listing.version = this->current_version;
     bool const knows_all_ends = known >= this->ends_known_from;
-    listing.extent = knows_all_ends ? UpstreamListing::Extent::Changes : UpstreamListing::Extent::Whole;
+    listing.extent = knows_all_ends ? UpstreamListing::Extent::Delta : UpstreamListing::Extent::Snapshot;
     for (auto const& [identity, entry] : this->entries) {
         if (entry.kept_until || (knows_all_ends && entry.version <= known))
             continue;
@@ -119,7 +119,7 @@
         return listing;
     for (auto const& [identity, version] : this->ends) {
         if (version > known)
-            listing.gone.push_back(identity);
+            listing.removed.push_back(identity);
     }
     return listing;
 }
@@ -127,12 +127,12 @@
 void UpstreamList::take(UpstreamListing const& listing, MonotonicTime now)
 {
     std::vector<UpstreamChange> changes;
-    changes.reserve(listing.records.size() + listing.gone.size());
+    changes.reserve(listing.records.size() + listing.removed.size());
     for (auto const& record : listing.records)
         changes.push_back({ record.identity, record, listing.version });
-    for (auto const& identity : listing.gone)
+    for (auto const& identity : listing.removed)
         changes.push_back({ identity, {}, listing.version });
-    if (listing.extent == UpstreamListing::Extent::Whole)
+    if (listing.extent == UpstreamListing::Extent::Snapshot)
         this->replace(changes, listing.version, now);
     else {
         for (auto const& change : changes)
@@ -146,7 +146,7 @@
     entry.record.life = this->evacuation_table.is_evacuated(entry.record.data_centre) ? UpstreamRecord::Life::Leaving : entry.announced_life;
 }
 
-std::vector<Evacuation> UpstreamList::take(EvacuationNews const& news)
+std::vector<Evacuation> UpstreamList::take(EvacuationUpdate const& news)
 {
     auto changes = this->evacuation_table.take(news);
     if (!changes.empty()) {
--- a/Libraries/LibDecision/UpstreamList.h
+++ b/Libraries/LibDecision/UpstreamList.h
@@ -56,14 +56,14 @@
 /// What one VM tells another of its list: all of it, or what changed since the version that the other has.
 struct UpstreamListing {
     enum class Extent {
-        Whole,
-        Changes,
+        Snapshot,
+        Delta,
     } extent
-        = Extent::Whole;
+        = Extent::Snapshot;
     std::int64_t version = 0;
     std::vector<UpstreamRecord> records;
     /// Identities of those that are gone, where it tells changes alone.
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
 };
 
 /// The upstreams that are known, and which of them get new work. Upstreams whose entries lapsed while their
@@ -99,7 +99,7 @@
     /// Takes what a peer told; older news change nothing.
     void take(UpstreamListing const& listing, MonotonicTime now);
     /// Gives the changes that were news.
-    std::vector<Evacuation> take(EvacuationNews const& news);
+    std::vector<Evacuation> take(EvacuationUpdate const& news);
     EvacuationTable const& evacuations() const { return this->evacuation_table; }
     /// Lets time pass; true where a kept entry was dropped.
     bool advance(MonotonicTime now);
--- a/Libraries/LibRouter/RegistryFollower.h
+++ b/Libraries/LibRouter/RegistryFollower.h
@@ -28,7 +28,7 @@
     struct Hooks {
         std::function<void(ConfigurationDocument const&)> on_configuration;
         /// Told after the configuration that came with it.
-        std::function<void(EvacuationNews const&)> on_evacuations = [](auto const&) {};
+        std::function<void(EvacuationUpdate const&)> on_evacuations = [](auto const&) {};
         /// The whole list as of a position.
         std::function<void(UpstreamSnapshot const&)> on_upstreams;
         std::function<void(UpstreamNews const&)> on_upstream_news;
--- a/Libraries/LibRouter/RegistryPort.h
+++ b/Libraries/LibRouter/RegistryPort.h
@@ -27,7 +27,7 @@
 struct ConfigurationNews {
     /// Empty where there is none, or none that is new.
     std::optional<ConfigurationDocument> document;
-    EvacuationNews evacuations;
+    EvacuationUpdate evacuations;
     std::int64_t position = 0;
 };
 
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -87,7 +87,7 @@
     news->set_configuration_version(this->hooks.configuration_version());
     write_evacuations(this->upstreams.evacuations(), *news->mutable_evacuations());
     auto* content = news->mutable_upstreams();
-    if (listing.extent == UpstreamListing::Extent::Changes) {
+    if (listing.extent == UpstreamListing::Extent::Delta) {
         write_listing(listing, *content);
         content->set_since(since);
     } else {
@@ -134,7 +134,7 @@
     auto const before = this->upstreams.version();
     if (listing.version <= before)
         return;
-    LogLine("upstreams_from_peer").with("peer", source).with("version", listing.version).with("before", before).with("extent", listing.extent == UpstreamListing::Extent::Whole ? "whole" : "changes").with("count", static_cast<std::int64_t>(listing.records.size())).with("gone", static_cast<std::int64_t>(listing.gone.size()));
+    LogLine("upstreams_from_peer").with("peer", source).with("version", listing.version).with("before", before).with("extent", listing.extent == UpstreamListing::Extent::Snapshot ? "whole" : "changes").with("count", static_cast<std::int64_t>(listing.records.size())).with("gone", static_cast<std::int64_t>(listing.removed.size()));
     this->upstreams.take(listing, monotonic_now());
     this->hooks.on_upstreams();
 }
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -22,7 +22,7 @@
         /// A peer handed on the configuration.
         std::function<void(ConfigurationDocument const&)> on_configuration;
         /// A peer told of evacuations.
-        std::function<void(EvacuationNews const&)> on_evacuations = [](auto const&) {};
+        std::function<void(EvacuationUpdate const&)> on_evacuations = [](auto const&) {};
         /// The list of upstreams is another one.
         std::function<void()> on_upstreams;
         /// That of the configuration in force; 0 before the first.
--- a/Libraries/LibWire/WireUpstreams.cpp
+++ b/Libraries/LibWire/WireUpstreams.cpp
@@ -48,21 +48,21 @@
 void write_listing(UpstreamListing const& listing, wire::UpstreamsContent& message)
 {
     message.set_version(listing.version);
-    message.set_only_changes(listing.extent == UpstreamListing::Extent::Changes);
+    message.set_only_changes(listing.extent == UpstreamListing::Extent::Delta);
     for (auto const& record : listing.records)
         write_upstream(record, *message.add_upstreams());
-    for (auto const& identity : listing.gone)
+    for (auto const& identity : listing.removed)
         message.add_gone(identity);
 }
 
 UpstreamListing read_listing(wire::UpstreamsContent const& message)
 {
     UpstreamListing listing;
-    listing.extent = message.only_changes() ? UpstreamListing::Extent::Changes : UpstreamListing::Extent::Whole;
+    listing.extent = message.only_changes() ? UpstreamListing::Extent::Delta : UpstreamListing::Extent::Snapshot;
     listing.version = message.version();
     for (auto const& entry : message.upstreams())
         listing.records.push_back(read_upstream(entry));
-    listing.gone.assign(message.gone().begin(), message.gone().end());
+    listing.removed.assign(message.gone().begin(), message.gone().end());
     return listing;
 }
 
@@ -76,9 +76,9 @@
     }
 }
 
-EvacuationNews read_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages)
+EvacuationUpdate read_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages)
 {
-    EvacuationNews news;
+    EvacuationUpdate news;
     for (auto const& message : messages)
         news.evacuations.push_back({ message.data_centre(), message.version(), message.over() ? Evacuation::State::Over : Evacuation::State::Ordered });
     return news;
--- a/Libraries/LibWire/WireUpstreams.h
+++ b/Libraries/LibWire/WireUpstreams.h
@@ -14,6 +14,6 @@
 void write_listing(UpstreamListing const& listing, wire::UpstreamsContent& message);
 UpstreamListing read_listing(wire::UpstreamsContent const& message);
 void write_evacuations(EvacuationTable const& book, google::protobuf::RepeatedPtrField<wire::Evacuation>& messages);
-EvacuationNews read_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages);
+EvacuationUpdate read_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages);
 
 }
--- a/Services/ConfigServer/MembershipService.h
+++ b/Services/ConfigServer/MembershipService.h
@@ -72,7 +72,7 @@
     }
 
     /// Makes evacuations part of the heartbeats, so that a VM hears of them from any other that it reaches.
-    void set_evacuation_hooks(std::function<EvacuationTable const&()> book, std::function<void(EvacuationNews const&)> on_told)
+    void set_evacuation_hooks(std::function<EvacuationTable const&()> book, std::function<void(EvacuationUpdate const&)> on_told)
     {
         this->evacuations = std::move(book);
         this->on_evacuations = std::move(on_told);
@@ -140,7 +140,7 @@
     std::function<void(std::string const& endpoint, std::uint64_t digest)> on_quarantine_digest = [](auto const&, auto) {};
     /// Empty where there are none to tell of.
     std::function<EvacuationTable const&()> evacuations;
-    std::function<void(EvacuationNews const&)> on_evacuations;
+    std::function<void(EvacuationUpdate const&)> on_evacuations;
     MembershipTable table;
     MonotonicTime started_at;
     MonotonicTime joining_until;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -367,7 +367,7 @@
     return count;
 }
 
-void Node::adopt_evacuations(EvacuationNews const& news, std::string_view source)
+void Node::adopt_evacuations(EvacuationUpdate const& news, std::string_view source)
 {
     auto const changes = this->state.upstreams.take(news);
     if (changes.empty())
--- a/Tests/LibDecision/TestEvacuationTable.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -14,14 +14,14 @@
 
 using State = Evacuation::State;
 
-EvacuationNews change(std::string data_centre, std::int64_t version, State state = State::Ordered)
+EvacuationUpdate change(std::string data_centre, std::int64_t version, State state = State::Ordered)
 {
-    return { EvacuationNews::Extent::Changes, { { std::move(data_centre), version, state } }, 0 };
+    return { EvacuationUpdate::Extent::Delta, { { std::move(data_centre), version, state } }, 0 };
 }
 
-EvacuationNews whole(std::int64_t position, std::vector<Evacuation> listed = {})
+EvacuationUpdate whole(std::int64_t position, std::vector<Evacuation> listed = {})
 {
-    return { EvacuationNews::Extent::Whole, std::move(listed), position };
+    return { EvacuationUpdate::Extent::Snapshot, std::move(listed), position };
 }
 
 UpstreamRecord record_in(std::string const& data_centre, UpstreamRecord::Life life = UpstreamRecord::Life::Serving)
@@ -67,7 +67,7 @@
 
 TEST_CASE("VMs that heard of evacuations in any order and from each other agree", "[evacuation][cut]")
 {
-    std::vector<EvacuationNews> news { change("a", 3), change("b", 4), whole(6, { { "b", 4, State::Ordered } }), change("a", 8), change("b", 9, State::Over), change("c", 10) };
+    std::vector<EvacuationUpdate> news { change("a", 3), change("b", 4), whole(6, { { "b", 4, State::Ordered } }), change("a", 8), change("b", 9, State::Over), change("c", 10) };
     std::sort(news.begin(), news.end(), [](auto const& one, auto const& other) { return one.evacuations.size() < other.evacuations.size(); });
     EvacuationTable expected;
     for (auto const& one : { change("a", 8), change("b", 9, State::Over), change("c", 10) })
@@ -78,8 +78,8 @@
         EvacuationTable there;
         for (std::size_t i = 0; i < order.size(); ++i)
             (i % 2 == 0 ? here : there).take(news[order[i]]);
-        here.take({ EvacuationNews::Extent::Changes, there.all(), 0 });
-        there.take({ EvacuationNews::Extent::Changes, here.all(), 0 });
+        here.take({ EvacuationUpdate::Extent::Delta, there.all(), 0 });
+        there.take({ EvacuationUpdate::Extent::Delta, here.all(), 0 });
         REQUIRE(here.all() == expected.all());
         REQUIRE(there.all() == expected.all());
     } while (std::next_permutation(order.begin(), order.end()));
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -49,11 +49,11 @@
     list.apply({ "c", record("c"), 8 }, at_milliseconds(1));
     list.apply({ "a", {}, 9 }, at_milliseconds(2));
     auto const listing = list.listing_since(7);
-    REQUIRE(listing.extent == UpstreamListing::Extent::Changes);
+    REQUIRE(listing.extent == UpstreamListing::Extent::Delta);
     CHECK(listing.version == 9);
     REQUIRE(listing.records.size() == 1);
     CHECK(listing.records[0].identity == "c");
-    CHECK(listing.gone == std::vector<std::string> { "a" });
+    CHECK(listing.removed == std::vector<std::string> { "a" });
 }
 
 TEST_CASE("A peer whose list is older than the ends that are remembered is told the whole", "[leaving]")
@@ -63,11 +63,11 @@
     UpstreamList list(options);
     list.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
     // What came and went before the list was read is not known.
-    CHECK(list.listing_since(6).extent == UpstreamListing::Extent::Whole);
+    CHECK(list.listing_since(6).extent == UpstreamListing::Extent::Snapshot);
     for (std::int64_t version = 8; version < 11; ++version)
         list.apply({ "x" + std::to_string(version), {}, version }, at_milliseconds(version));
-    CHECK(list.listing_since(7).extent == UpstreamListing::Extent::Whole);
-    CHECK(list.listing_since(8).extent == UpstreamListing::Extent::Changes);
+    CHECK(list.listing_since(7).extent == UpstreamListing::Extent::Snapshot);
+    CHECK(list.listing_since(8).extent == UpstreamListing::Extent::Delta);
     CHECK(list.listing_since(0).records.size() == 1);
 }
 
@@ -87,7 +87,7 @@
     // Otherwise it would be asked for again at each heartbeat.
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
-    list.take({ UpstreamListing::Extent::Whole, 8, {}, {} }, at_milliseconds(1));
+    list.take({ UpstreamListing::Extent::Snapshot, 8, {}, {} }, at_milliseconds(1));
     CHECK_FALSE(list.takes_work("a"));
     CHECK(list.version() == 8);
 }
@@ -98,7 +98,7 @@
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
     list.apply({ "a", {}, 6 }, at_milliseconds(1));
     UpstreamListing late;
-    late.extent = UpstreamListing::Extent::Changes;
+    late.extent = UpstreamListing::Extent::Delta;
     late.version = 5;
     late.records.push_back(record("a"));
     list.take(late, at_milliseconds(2));
@@ -113,7 +113,7 @@
     list.apply({ "a", {}, 6 }, at_milliseconds(1));
     SECTION("told by a peer")
     {
-        UpstreamListing listing { UpstreamListing::Extent::Changes, 8, { record("a") }, {} };
+        UpstreamListing listing { UpstreamListing::Extent::Delta, 8, { record("a") }, {} };
         list.take(listing, at_milliseconds(2));
     }
     SECTION("read with the whole list")
--- a/Tests/LibWire/TestWireUpstreams.cpp
+++ b/Tests/LibWire/TestWireUpstreams.cpp
@@ -19,15 +19,15 @@
 TEST_CASE("A listing comes back from the wire as it was")
 {
     UpstreamListing listing;
-    listing.extent = GENERATE(UpstreamListing::Extent::Whole, UpstreamListing::Extent::Changes);
+    listing.extent = GENERATE(UpstreamListing::Extent::Snapshot, UpstreamListing::Extent::Delta);
     listing.version = 9;
     listing.records.push_back({ "i-1", "engines", "127.0.0.1:80", "dc", 64, UpstreamRecord::Life::Leaving, EngineRole::Decode, 3, 0 });
-    listing.gone = { "i-2", "i-3" };
+    listing.removed = { "i-2", "i-3" };
     wire::UpstreamsContent message;
     write_listing(listing, message);
     auto const read = read_listing(message);
     CHECK(read.extent == listing.extent);
     CHECK(read.version == listing.version);
     CHECK(read.records == listing.records);
-    CHECK(read.gone == listing.gone);
+    CHECK(read.removed == listing.removed);
 }
