--- a/Libraries/LibDecision/UpstreamLimitBook.cpp
+++ b/Libraries/LibDecision/UpstreamLimitTable.cpp
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/UpstreamLimitBook.h>
+#include <LibDecision/UpstreamLimitTable.h>
 #include <algorithm>
 #include <xxhash.h>
 
 namespace Spurtide {
 
-UpstreamLimitBook::Change UpstreamLimitBook::take(std::string_view upstream, UpstreamLimitStatement const& statement)
+UpstreamLimitTable::Change UpstreamLimitTable::take(std::string_view upstream, UpstreamLimitStatement const& statement)
 {
     auto const found = this->statements.find(upstream);
     if (found == this->statements.end()) {
@@ -23,19 +23,19 @@
     return is_other ? Change::InForce : Change::None;
 }
 
-std::optional<double> UpstreamLimitBook::rate_of(std::string_view upstream) const
+std::optional<double> UpstreamLimitTable::rate_of(std::string_view upstream) const
 {
     auto const found = this->statements.find(upstream);
     return found == this->statements.end() ? std::optional<double> {} : found->second.rate;
 }
 
-std::optional<UpstreamLimitStatement> UpstreamLimitBook::statement_of(std::string_view upstream) const
+std::optional<UpstreamLimitStatement> UpstreamLimitTable::statement_of(std::string_view upstream) const
 {
     auto const found = this->statements.find(upstream);
     return found == this->statements.end() ? std::optional<UpstreamLimitStatement> {} : found->second;
 }
 
-std::uint64_t UpstreamLimitBook::digest() const
+std::uint64_t UpstreamLimitTable::digest() const
 {
     std::uint64_t digest = 0;
     for (auto const& [upstream, statement] : this->statements)
@@ -43,18 +43,18 @@
     return digest;
 }
 
-void UpstreamLimitBook::for_each(std::function<void(std::string_view)> const& function) const
+void UpstreamLimitTable::for_each(std::function<void(std::string_view)> const& function) const
 {
     for (auto const& entry : this->statements)
         function(entry.first);
 }
 
-std::size_t UpstreamLimitBook::size() const
+std::size_t UpstreamLimitTable::size() const
 {
     return static_cast<std::size_t>(std::count_if(this->statements.begin(), this->statements.end(), [](auto const& entry) { return entry.second.rate.has_value(); }));
 }
 
-void UpstreamLimitBook::retain(std::function<bool(std::string_view)> const& is_listed)
+void UpstreamLimitTable::retain(std::function<bool(std::string_view)> const& is_listed)
 {
     std::erase_if(this->statements, [&](auto const& entry) { return !is_listed(entry.first); });
 }
--- a/Libraries/LibDecision/UpstreamLimitBook.h
+++ b/Libraries/LibDecision/UpstreamLimitTable.h
@@ -24,7 +24,7 @@
 };
 
 /// The newest statement of each upstream, as far as this VM heard of it. Pure: time is passed in.
-class UpstreamLimitBook {
+class UpstreamLimitTable {
 public:
     enum class Change {
         None,
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -174,7 +174,7 @@
     if (facts.limit.state == LimitField::State::Named)
         statement = { facts.limit.rate, monotonic_now() };
     auto const before = this->state.limiter->rate_of(upstream);
-    if (this->state.limiter->note(upstream, statement) == UpstreamLimitBook::Change::None)
+    if (this->state.limiter->note(upstream, statement) == UpstreamLimitTable::Change::None)
         return;
     LogLine line(statement.rate ? "upstream_limit_named" : "upstream_limit_over");
     line.with("request", this->request.identifier).with("upstream", upstream).with("service", this->service);
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -18,7 +18,7 @@
 
 }
 
-UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks)
+UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitTable& book, Hooks hooks)
     : kernel(kernel)
     , ranking(ranking)
     , book(book)
@@ -62,7 +62,7 @@
 {
     if (!this->hooks.is_listed(statement.upstream()))
         return;
-    if (take_statement(statement, this->book, monotonic_now()) == UpstreamLimitBook::Change::InForce)
+    if (take_statement(statement, this->book, monotonic_now()) == UpstreamLimitTable::Change::InForce)
         LogLine("upstream_limit_heard").with("upstream", statement.upstream()).with("rate", statement.rate()).with("age_ms", statement.age_microseconds() / 1000);
 }
 
--- a/Libraries/LibRouter/UpstreamLimitCounter.h
+++ b/Libraries/LibRouter/UpstreamLimitCounter.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/UpstreamLimitBook.h>
+#include <LibDecision/UpstreamLimitTable.h>
 #include <LibDecision/UpstreamPacer.h>
 #include <LibDecision/VirtualMachineCount.h>
 #include <LibRouter/KeeperRanking.h>
@@ -51,7 +51,7 @@
     };
 
     /// The book is this VM's, and takes what others tell.
-    UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks);
+    UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitTable& book, Hooks hooks);
 
     /// Makes the service known. Call before the kernel starts.
     void host();
@@ -73,7 +73,7 @@
 
     Kernel& kernel;
     KeeperRanking& ranking;
-    UpstreamLimitBook& book;
+    UpstreamLimitTable& book;
     Hooks hooks;
     UpstreamPacer pacer;
 };
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -17,7 +17,7 @@
 
 }
 
-UpstreamLimiter::UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter)
+UpstreamLimiter::UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitTable& book, UpstreamLimitCounter& own_counter)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
@@ -26,10 +26,10 @@
 {
 }
 
-UpstreamLimitBook::Change UpstreamLimiter::note(std::string_view upstream, UpstreamLimitStatement const& statement)
+UpstreamLimitTable::Change UpstreamLimiter::note(std::string_view upstream, UpstreamLimitStatement const& statement)
 {
     auto const change = this->book.take(upstream, statement);
-    if (change == UpstreamLimitBook::Change::None)
+    if (change == UpstreamLimitTable::Change::None)
         return change;
     auto const endpoint = this->ranking.present_endpoint(upstream);
     if (endpoint == this->kernel.endpoint())
--- a/Libraries/LibRouter/UpstreamLimiter.h
+++ b/Libraries/LibRouter/UpstreamLimiter.h
@@ -33,10 +33,10 @@
     using Turn = UpstreamPacer::Turn;
 
     /// The book is this VM's.
-    UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter);
+    UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitTable& book, UpstreamLimitCounter& own_counter);
 
     /// Takes what an answer said, and tells the VM that counts where that changes something.
-    UpstreamLimitBook::Change note(std::string_view upstream, UpstreamLimitStatement const& statement);
+    UpstreamLimitTable::Change note(std::string_view upstream, UpstreamLimitStatement const& statement);
     std::optional<double> rate_of(std::string_view upstream) const { return this->book.rate_of(upstream); }
 
     /// Granted at once where the upstream has no limit.
@@ -61,7 +61,7 @@
     Options options;
     Kernel& kernel;
     KeeperRanking& ranking;
-    UpstreamLimitBook& book;
+    UpstreamLimitTable& book;
     UpstreamLimitCounter& own_counter;
     std::map<std::string, MonotonicTime, std::less<>> paused_until;
     bool is_fetching = false;
--- a/Libraries/LibWire/WireUpstreamLimits.cpp
+++ b/Libraries/LibWire/WireUpstreamLimits.cpp
@@ -7,7 +7,7 @@
 
 namespace Spurtide {
 
-void write_statement(std::string_view upstream, UpstreamLimitBook const& book, MonotonicTime now, wire::UpstreamLimitStatement& message)
+void write_statement(std::string_view upstream, UpstreamLimitTable const& book, MonotonicTime now, wire::UpstreamLimitStatement& message)
 {
     message.set_upstream(std::string(upstream));
     auto const statement = book.statement_of(upstream);
@@ -18,7 +18,7 @@
     message.set_age_microseconds(std::chrono::duration_cast<Duration>(now - statement->as_of).count());
 }
 
-UpstreamLimitBook::Change take_statement(wire::UpstreamLimitStatement const& message, UpstreamLimitBook& book, MonotonicTime now)
+UpstreamLimitTable::Change take_statement(wire::UpstreamLimitStatement const& message, UpstreamLimitTable& book, MonotonicTime now)
 {
     auto const age = Duration(std::max<std::int64_t>(0, message.age_microseconds()));
     UpstreamLimitStatement statement { {}, now - age };
@@ -27,11 +27,11 @@
         return book.take(message.upstream(), statement);
     case wire::UPSTREAM_LIMIT_NAMED:
         if (!std::isfinite(message.rate()) || message.rate() < 0)
-            return UpstreamLimitBook::Change::None;
+            return UpstreamLimitTable::Change::None;
         statement.rate = message.rate();
         return book.take(message.upstream(), statement);
     default:
-        return UpstreamLimitBook::Change::None;
+        return UpstreamLimitTable::Change::None;
     }
 }
 
--- a/Libraries/LibWire/WireUpstreamLimits.h
+++ b/Libraries/LibWire/WireUpstreamLimits.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/UpstreamLimitBook.h>
+#include <LibDecision/UpstreamLimitTable.h>
 #include <LibWire/Spurtide.pb.h>
 #include <string_view>
 
@@ -11,9 +11,9 @@
 
 /// Writes what the book knows of the upstream, with its age in the place of a time that only this VM's clock has; nothing
 /// but the name where it knows nothing.
-void write_statement(std::string_view upstream, UpstreamLimitBook const& book, MonotonicTime now, wire::UpstreamLimitStatement& message);
+void write_statement(std::string_view upstream, UpstreamLimitTable const& book, MonotonicTime now, wire::UpstreamLimitStatement& message);
 
 /// Takes what another VM tells, unless it makes no sense.
-UpstreamLimitBook::Change take_statement(wire::UpstreamLimitStatement const& message, UpstreamLimitBook& book, MonotonicTime now);
+UpstreamLimitTable::Change take_statement(wire::UpstreamLimitStatement const& message, UpstreamLimitTable& book, MonotonicTime now);
 
 }
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -104,7 +104,7 @@
     std::unique_ptr<PlacementClient> placement;
     std::unique_ptr<QuotaCounter> quota_counter;
     std::unique_ptr<QuotaClient> quota;
-    UpstreamLimitBook upstream_limits;
+    UpstreamLimitTable upstream_limits;
     std::unique_ptr<UpstreamLimitCounter> limit_counter;
     std::unique_ptr<UpstreamLimiter> limiter;
     std::unique_ptr<QuarantineKeeper> quarantine;
--- a/Tests/LibDecision/TestUpstreamLimitBook.cpp
+++ b/Tests/LibDecision/TestUpstreamLimitTable.cpp
@@ -1,14 +1,14 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/UpstreamLimitBook.h>
+#include <LibDecision/UpstreamLimitTable.h>
 #include <catch2/catch.hpp>
 
 using namespace Spurtide;
 
 namespace {
 
-using Change = UpstreamLimitBook::Change;
+using Change = UpstreamLimitTable::Change;
 
 MonotonicTime at(std::int64_t milliseconds_since) { return MonotonicTime(milliseconds(milliseconds_since)); }
 
@@ -16,7 +16,7 @@
 
 TEST_CASE("A limit holds until an answer to a later request names none", "[upstream-limit]")
 {
-    UpstreamLimitBook book;
+    UpstreamLimitTable book;
     CHECK(book.take("i-1", { 5.3, at(100) }) == Change::InForce);
     CHECK(book.rate_of("i-1") == 5.3);
     // Sent before the limit was heard of: its answer may have been made before.
@@ -29,7 +29,7 @@
 
 TEST_CASE("The newest limit is in force, whichever is heard of last", "[upstream-limit]")
 {
-    UpstreamLimitBook book;
+    UpstreamLimitTable book;
     book.take("i-1", { 5.3, at(100) });
     CHECK(book.take("i-1", { 2.5, at(200) }) == Change::InForce);
     CHECK(book.take("i-1", { 5.3, at(150) }) == Change::None);
@@ -40,7 +40,7 @@
 
 TEST_CASE("Of upstreams that never named a limit nothing is kept", "[upstream-limit]")
 {
-    UpstreamLimitBook book;
+    UpstreamLimitTable book;
     CHECK(book.take("i-1", { {}, at(100) }) == Change::None);
     CHECK_FALSE(book.statement_of("i-1"));
     book.take("i-2", { 0.0, at(100) });
@@ -51,8 +51,8 @@
 
 TEST_CASE("Books that know limits of the same upstreams have the same digest, whatever the limits are", "[upstream-limit]")
 {
-    UpstreamLimitBook one;
-    UpstreamLimitBook other;
+    UpstreamLimitTable one;
+    UpstreamLimitTable other;
     CHECK(one.digest() == 0);
     one.take("i-1", { 5.3, at(100) });
     one.take("i-2", { 1.0, at(100) });
--- a/Tests/LibRouter/TestUpstreamLimiter.cpp
+++ b/Tests/LibRouter/TestUpstreamLimiter.cpp
@@ -36,7 +36,7 @@
 
     std::unique_ptr<Kernel> kernel;
     KeeperRanking ranking;
-    UpstreamLimitBook book;
+    UpstreamLimitTable book;
     std::unique_ptr<UpstreamLimitCounter> counter;
     std::unique_ptr<UpstreamLimiter> limiter;
     bool is_settled = true;
