--- a/Libraries/LibDecision/CrashLedger.cpp
+++ b/Libraries/LibDecision/PoisonRequestDetector.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/CrashLedger.h>
+#include <LibDecision/PoisonRequestDetector.h>
 #include <algorithm>
 
 namespace Spurtide {
@@ -9,11 +9,11 @@
 namespace {
 
 /// A request that was at an upstream so many times as long as another before the crash did not come there together with it.
-constexpr int CLEAR_RATIO = 2;
+constexpr int RUN_TIME_RATIO = 2;
 
 }
 
-void CrashLedger::note_crash(RequestFingerprint const& request, UpstreamIncarnation const& upstream, Duration ran_for, MonotonicTime now)
+void PoisonRequestDetector::note_crash(RequestFingerprint const& request, UpstreamIncarnation const& upstream, Duration ran_for, MonotonicTime now)
 {
     if (this->completed.contains(request, now))
         return;
@@ -25,25 +25,25 @@
     this->forget_old(now);
 }
 
-void CrashLedger::note_completed(RequestFingerprint const& request, MonotonicTime now)
+void PoisonRequestDetector::note_completed(RequestFingerprint const& request, MonotonicTime now)
 {
     this->completed.note(request, now);
     for (auto& [upstream, crash] : this->crashes)
         crash.requests.erase(request);
 }
 
-bool CrashLedger::is_suspect(RequestFingerprint const& request) const
+bool PoisonRequestDetector::is_suspect(RequestFingerprint const& request) const
 {
     auto const was_there = [&](auto const& crash) { return crash.second.requests.contains(request); };
-    return static_cast<std::size_t>(std::count_if(this->crashes.begin(), this->crashes.end(), was_there)) >= this->options.crashes_of_a_cause;
+    return static_cast<std::size_t>(std::count_if(this->crashes.begin(), this->crashes.end(), was_there)) >= this->options.crash_threshold;
 }
 
-bool CrashLedger::is_settled(RequestFingerprint const& request, MonotonicTime now) const
+bool PoisonRequestDetector::is_settled(RequestFingerprint const& request, MonotonicTime now) const
 {
     return std::all_of(this->crashes.begin(), this->crashes.end(), [&](auto const& crash) { return !crash.second.requests.contains(request) || this->has_settled(crash.second, now); });
 }
 
-std::vector<CrashLedger::Cause> CrashLedger::find_causes(std::function<bool(RequestFingerprint const&)> const& is_known, MonotonicTime now) const
+std::vector<PoisonRequestDetector::PoisonRequest> PoisonRequestDetector::find_poison_requests(std::function<bool(RequestFingerprint const&)> const& is_known, MonotonicTime now) const
 {
     std::vector<Crash const*> unexplained;
     for (auto const& [upstream, crash] : this->crashes) {
@@ -51,8 +51,8 @@
         if (!is_explained && this->has_settled(crash, now))
             unexplained.push_back(&crash);
     }
-    std::vector<Cause> causes;
-    while (unexplained.size() >= this->options.crashes_of_a_cause) {
+    std::vector<PoisonRequest> causes;
+    while (unexplained.size() >= this->options.crash_threshold) {
         auto const cause = this->most_likely(unexplained);
         if (!cause)
             break;
@@ -62,36 +62,36 @@
     return causes;
 }
 
-std::optional<CrashLedger::Cause> CrashLedger::most_likely(std::span<Crash const* const> unexplained) const
+std::optional<PoisonRequestDetector::PoisonRequest> PoisonRequestDetector::most_likely(std::span<Crash const* const> unexplained) const
 {
-    std::map<RequestFingerprint, Suspicion> suspicions;
+    std::map<RequestFingerprint, Evidence> evidence_by_request;
     for (auto const* crash : unexplained) {
         for (auto const& [request, ran_for] : crash->requests) {
-            auto& suspicion = suspicions[request];
-            ++suspicion.crashes;
-            suspicion.ran_for += ran_for;
+            auto& evidence = evidence_by_request[request];
+            ++evidence.crashes;
+            evidence.ran_for += ran_for;
         }
     }
     // Of two that were at as many crashes, it is the one that came to them last.
     auto const is_less = [](auto const& left, auto const& right) {
         return std::pair(left.second.crashes, -left.second.ran_for) < std::pair(right.second.crashes, -right.second.ran_for);
     };
-    auto const worst = std::max_element(suspicions.begin(), suspicions.end(), is_less);
-    if (worst == suspicions.end() || worst->second.crashes < this->options.crashes_of_a_cause)
+    auto const likeliest = std::max_element(evidence_by_request.begin(), evidence_by_request.end(), is_less);
+    if (likeliest == evidence_by_request.end() || likeliest->second.crashes < this->options.crash_threshold)
         return {};
-    auto const rivals = [&](auto const& other) {
-        return other.first != worst->first && other.second.crashes == worst->second.crashes && other.second.ran_for < worst->second.ran_for * CLEAR_RATIO;
+    auto const is_rival = [&](auto const& other) {
+        return other.first != likeliest->first && other.second.crashes == likeliest->second.crashes && other.second.ran_for < likeliest->second.ran_for * RUN_TIME_RATIO;
     };
-    bool const is_clear = std::none_of(suspicions.begin(), suspicions.end(), rivals);
-    if (!is_clear && worst->second.crashes < this->options.crashes_of_a_cause + this->options.crashes_for_clarity)
+    bool const is_clear = std::none_of(evidence_by_request.begin(), evidence_by_request.end(), is_rival);
+    if (!is_clear && likeliest->second.crashes < this->options.crash_threshold + this->options.tie_break_crashes)
         return {};
-    return Cause { worst->first, worst->second.crashes };
+    return PoisonRequest { likeliest->first, likeliest->second.crashes };
 }
 
-void CrashLedger::forget_old(MonotonicTime now)
+void PoisonRequestDetector::forget_old(MonotonicTime now)
 {
-    std::erase_if(this->crashes, [&](auto const& crash) { return now - crash.second.first_report > this->options.memory; });
-    while (this->crashes.size() > this->options.most_crashes) {
+    std::erase_if(this->crashes, [&](auto const& crash) { return now - crash.second.first_report > this->options.retention; });
+    while (this->crashes.size() > this->options.maximum_crashes) {
         auto const is_older = [](auto const& left, auto const& right) { return left.second.first_report < right.second.first_report; };
         this->crashes.erase(std::min_element(this->crashes.begin(), this->crashes.end(), is_older));
     }
--- a/Libraries/LibDecision/RecentRequests.h
+++ b/Libraries/LibDecision/RecentRequests.h
@@ -15,8 +15,8 @@
 class RecentRequests {
 public:
     struct Options {
-        Duration memory {};
-        std::size_t most = 0;
+        Duration retention {};
+        std::size_t capacity = 0;
     };
 
     explicit RecentRequests(Options options)
@@ -28,7 +28,7 @@
     {
         this->noted.insert_or_assign(request, now);
         this->order.push_back({ request, now });
-        while (!this->order.empty() && (this->order.size() > this->options.most || now - this->order.front().at > this->options.memory)) {
+        while (!this->order.empty() && (this->order.size() > this->options.capacity || now - this->order.front().at > this->options.retention)) {
             // It may have been noted again since.
             auto const found = this->noted.find(this->order.front().request);
             if (found != this->noted.end() && found->second == this->order.front().at)
@@ -40,7 +40,7 @@
     bool contains(RequestFingerprint const& request, MonotonicTime now) const
     {
         auto const found = this->noted.find(request);
-        return found != this->noted.end() && now - found->second <= this->options.memory;
+        return found != this->noted.end() && now - found->second <= this->options.retention;
     }
 
 private:
--- a/Libraries/LibRouter/CrashAnalyzer.cpp
+++ b/Libraries/LibRouter/CrashAnalyzer.cpp
@@ -51,7 +51,7 @@
     // not gone through at each report.
     if (std::none_of(this->waiting.begin(), this->waiting.end(), [this](auto const& who) { return this->ledger.is_suspect(who.request); }))
         return;
-    for (auto const& cause : this->ledger.find_causes([this](auto const& request) { return this->is_quarantined(request); }, now)) {
+    for (auto const& cause : this->ledger.find_poison_requests([this](auto const& request) { return this->is_quarantined(request); }, now)) {
         LogLine("request_quarantined").with("fingerprint", cause.request.to_hex()).with("because", "crashed_several").with("crashes", static_cast<std::int64_t>(cause.crashes));
         this->quarantine.add(cause.request);
     }
--- a/Libraries/LibRouter/CrashAnalyzer.h
+++ b/Libraries/LibRouter/CrashAnalyzer.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/CrashLedger.h>
+#include <LibDecision/PoisonRequestDetector.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <asio.hpp>
 #include <functional>
@@ -35,7 +35,7 @@
 class CrashAnalyzer {
 public:
     struct Options {
-        CrashLedger::Options ledger {};
+        PoisonRequestDetector::Options ledger {};
         /// Whoever reports goes on with the request elsewhere, and callers notice pauses; by then it is told that it may.
         Duration longest_verdict = milliseconds(80);
         Duration tick = milliseconds(10);
@@ -65,7 +65,7 @@
     QuarantineKeeper& quarantine;
     asio::steady_timer timer;
     bool is_timer_set = false;
-    CrashLedger ledger;
+    PoisonRequestDetector ledger;
     std::vector<Waiting> waiting;
 };
 
--- a/Tests/LibDecision/TestCrashLedger.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/CrashLedger.h>
+#include <LibDecision/PoisonRequestDetector.h>
 #include <Tests/Support/VirtualClock.h>
 #include <catch2/catch.hpp>
 #include <random>
@@ -13,14 +13,14 @@
 
 RequestFingerprint request_named(std::string_view body) { return RequestFingerprint::of({ "POST", "h.example", "/x", "", body }); }
 
-constexpr auto NOBODY_KNOWN = [](RequestFingerprint const&) { return false; };
+constexpr auto NONE_KNOWN = [](RequestFingerprint const&) { return false; };
 
-constexpr int ENDS = static_cast<int>(CrashLedger::Options {}.crashes_of_a_cause);
+constexpr int CRASH_THRESHOLD = static_cast<int>(PoisonRequestDetector::Options {}.crash_threshold);
 
 /// What operators put up with once a request was at so many ends.
-constexpr int SENDS_AFTER = 3;
+constexpr int MAXIMUM_EXTRA_CRASHES = 3;
 
-struct LedgerTest {
+struct PoisonRequestTest {
     /// An upstream crashes, each request having been there for so long.
     void crash(std::vector<std::pair<std::string, Duration>> const& there)
     {
@@ -33,12 +33,12 @@
     std::vector<RequestFingerprint> causes() const
     {
         std::vector<RequestFingerprint> found;
-        for (auto const& cause : this->ledger.find_causes(NOBODY_KNOWN, this->now))
+        for (auto const& cause : this->ledger.find_poison_requests(NONE_KNOWN, this->now))
             found.push_back(cause.request);
         return found;
     }
 
-    CrashLedger ledger { CrashLedger::Options {} };
+    PoisonRequestDetector ledger { PoisonRequestDetector::Options {} };
     MonotonicTime now { seconds(1000) };
     int crashes = 0;
 };
@@ -49,7 +49,7 @@
 
 TEST_CASE("Whoever was at three upstreams that ended is the cause", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
     test.crash({ { "cause", milliseconds(100) } });
     CHECK(test.causes().empty());
@@ -61,7 +61,7 @@
 
 TEST_CASE("Who ran beside the cause is none, however often", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     SECTION("one that the cause was met by more often")
     {
         for (int i = 0; i < 4; ++i)
@@ -83,21 +83,21 @@
 
 TEST_CASE("What a known cause explains blames nobody else", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     auto const is_known = [](RequestFingerprint const& request) { return request == request_named("cause"); };
     for (int i = 0; i < 6; ++i)
         test.crash({ { "cause", seconds(3) }, { "victim", milliseconds(50) } });
-    CHECK(test.ledger.find_causes(is_known, test.now).empty());
+    CHECK(test.ledger.find_poison_requests(is_known, test.now).empty());
     for (int i = 0; i < 3; ++i)
         test.crash({ { "another", milliseconds(50) } });
-    auto const found = test.ledger.find_causes(is_known, test.now);
+    auto const found = test.ledger.find_poison_requests(is_known, test.now);
     REQUIRE(found.size() == 1);
     CHECK(found.front().request == request_named("another"));
 }
 
 TEST_CASE("Two causes at a time are both found", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     for (int i = 0; i < 3; ++i) {
         test.crash({ { "first", milliseconds(60) }, { "victim", milliseconds(200) } });
         test.crash({ { "second", milliseconds(90) }, { "victim", milliseconds(400) } });
@@ -115,7 +115,7 @@
 
 TEST_CASE("A request that ended well is no cause of the ends before and shortly after", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     test.ledger.note_completed(request_named("sound"), test.now);
@@ -124,7 +124,7 @@
         test.crash({ { "sound", milliseconds(70) } });
     CHECK(test.causes().empty());
     // What changed since, such as the upstreams' software, may have made a cause of it.
-    test.now += CrashLedger::Options {}.completed.memory;
+    test.now += PoisonRequestDetector::Options {}.completed.retention;
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     CHECK(test.causes() == Found { request_named("sound") });
@@ -132,7 +132,7 @@
 
 TEST_CASE("An end blames nobody until all VMs had time to tell who was there", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
     test.ledger.note_crash(request_named("victim"), { "i-9", 0 }, milliseconds(300), test.now);
@@ -140,14 +140,14 @@
     CHECK_FALSE(test.ledger.is_settled(request_named("victim"), test.now));
     test.now += milliseconds(5);
     test.ledger.note_crash(request_named("cause"), { "i-9", 0 }, milliseconds(70), test.now);
-    test.now += CrashLedger::Options {}.settling;
+    test.now += PoisonRequestDetector::Options {}.report_delay;
     CHECK(test.ledger.is_settled(request_named("victim"), test.now));
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
 TEST_CASE("Two attempts at one upstream are one end, two lives under one name are two", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     auto const cause = request_named("cause");
     for (int i = 0; i < 3; ++i)
         test.ledger.note_crash(cause, { "i-1", 7 }, milliseconds(70), test.now);
@@ -161,15 +161,15 @@
 
 TEST_CASE("Ends are forgotten in time, and no more than a number is kept", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
     test.crash({ { "cause", milliseconds(70) } });
-    test.now += CrashLedger::Options {}.memory;
+    test.now += PoisonRequestDetector::Options {}.retention;
     test.crash({ { "cause", milliseconds(70) } });
     CHECK(test.causes().empty());
     for (int i = 0; i < 2000; ++i)
         test.crash({ { "r" + std::to_string(i), milliseconds(70) } });
-    CHECK(test.ledger.size() <= CrashLedger::Options {}.most_crashes);
+    CHECK(test.ledger.size() <= PoisonRequestDetector::Options {}.maximum_crashes);
 }
 
 // Engines as in the incident: nine of them, three reading prompts, so six to meet at; a request ends one about every third
@@ -182,7 +182,7 @@
     int latest_found = 0;
     for (int run = 0; run < RUNS; ++run) {
         std::mt19937 random(static_cast<unsigned>(run));
-        LedgerTest test;
+        PoisonRequestTest test;
         struct Victim {
             std::string body;
             int engine;
@@ -218,5 +218,5 @@
         latest_found = std::max(latest_found, *found_after);
     }
     CHECK(blamed_victims == 0);
-    CHECK(latest_found <= ENDS + SENDS_AFTER);
+    CHECK(latest_found <= CRASH_THRESHOLD + MAXIMUM_EXTRA_CRASHES);
 }
