--- a/Libraries/LibDecision/SendLedger.cpp
+++ b/Libraries/LibDecision/SendLedger.cpp
@@ -37,14 +37,14 @@
     if (this->arrivals++ == 0)
         return;
     VERIFY(!this->unused.empty());
-    this->budget.move(this->unused.back(), now);
+    this->budget.restart_window(this->unused.back(), now);
     this->unused.pop_back();
 }
 
 void SendLedger::give_back_unused()
 {
     for (auto const taken_at : this->unused)
-        this->budget.give_back(taken_at);
+        this->budget.refund(taken_at);
     this->unused.clear();
 }
 
--- a/Libraries/LibDecision/SharedRetryBudget.cpp
+++ b/Libraries/LibDecision/SharedRetryBudget.cpp
@@ -12,46 +12,46 @@
     this->expire(now);
 }
 
-bool SharedRetryBudget::try_take(std::size_t count, double part, MonotonicTime now)
+bool SharedRetryBudget::try_take(std::size_t count, double share, MonotonicTime now)
 {
     this->expire(now);
-    if (static_cast<double>(this->extras.size() + count) > this->limit(part))
+    if (static_cast<double>(this->extra_sends.size() + count) > this->limit(share))
         return false;
-    this->extras.insert(this->extras.end(), count, now);
+    this->extra_sends.insert(this->extra_sends.end(), count, now);
     return true;
 }
 
-void SharedRetryBudget::give_back(MonotonicTime taken_at)
+void SharedRetryBudget::refund(MonotonicTime taken_at)
 {
-    auto const found = std::lower_bound(this->extras.begin(), this->extras.end(), taken_at);
+    auto const found = std::lower_bound(this->extra_sends.begin(), this->extra_sends.end(), taken_at);
     // One that has left the window already is not there any more.
-    if (found != this->extras.end() && *found == taken_at)
-        this->extras.erase(found);
+    if (found != this->extra_sends.end() && *found == taken_at)
+        this->extra_sends.erase(found);
 }
 
-void SharedRetryBudget::move(MonotonicTime taken_at, MonotonicTime now)
+void SharedRetryBudget::restart_window(MonotonicTime taken_at, MonotonicTime now)
 {
-    this->give_back(taken_at);
-    this->extras.push_back(now);
+    this->refund(taken_at);
+    this->extra_sends.push_back(now);
 }
 
-SharedRetryBudget::Level SharedRetryBudget::level(double part, MonotonicTime now)
+SharedRetryBudget::Level SharedRetryBudget::level(double share, MonotonicTime now)
 {
     this->expire(now);
-    return { this->requests.size(), this->extras.size(), this->limit(part) };
+    return { this->requests.size(), this->extra_sends.size(), this->limit(share) };
 }
 
-double SharedRetryBudget::limit(double part) const
+double SharedRetryBudget::limit(double share) const
 {
-    return this->options.safety * (this->options.ratio * static_cast<double>(this->requests.size()) + this->options.allowance * part);
+    return this->options.safety_factor * (this->options.ratio * static_cast<double>(this->requests.size()) + this->options.allowance * share);
 }
 
 void SharedRetryBudget::expire(MonotonicTime now)
 {
     while (!this->requests.empty() && now - this->requests.front() > this->options.window)
         this->requests.pop_front();
-    while (!this->extras.empty() && now - this->extras.front() > this->options.window)
-        this->extras.pop_front();
+    while (!this->extra_sends.empty() && now - this->extra_sends.front() > this->options.window)
+        this->extra_sends.pop_front();
 }
 
 }
--- a/Libraries/LibDecision/SharedRetryBudget.h
+++ b/Libraries/LibDecision/SharedRetryBudget.h
@@ -20,7 +20,7 @@
         double allowance = 20;
         Duration window = seconds(10);
         /// Part of both that is used; the rest is for requests that other VMs counted otherwise.
-        double safety = 0.7;
+        double safety_factor = 0.7;
     };
 
     explicit SharedRetryBudget(Options options)
@@ -31,31 +31,31 @@
     void note_request(MonotonicTime now);
 
     /// Takes all of so many extra sends where the budget has them, else none. The part is this VM's of the allowance.
-    bool try_take(std::size_t count, double part, MonotonicTime now);
+    bool try_take(std::size_t count, double share, MonotonicTime now);
     /// Gives back an extra send that was not used.
-    void give_back(MonotonicTime taken_at);
+    void refund(MonotonicTime taken_at);
     /// An extra send that was taken earlier leaves only now, and counts within the window from now on.
-    void move(MonotonicTime taken_at, MonotonicTime now);
+    void restart_window(MonotonicTime taken_at, MonotonicTime now);
 
     /// What the budget holds now, for those who ask why a send was or was not allowed.
     struct Level {
         /// Requests and extra sends of this VM within the window.
         std::size_t requests = 0;
-        std::size_t extras = 0;
+        std::size_t extra_sends = 0;
         /// Extra sends that this VM may have within the window.
         double limit = 0;
     };
 
-    Level level(double part, MonotonicTime now);
+    Level level(double share, MonotonicTime now);
 
 private:
-    double limit(double part) const;
+    double limit(double share) const;
     void expire(MonotonicTime now);
 
     Options options;
     std::deque<MonotonicTime> requests;
     // In the order of their times.
-    std::deque<MonotonicTime> extras;
+    std::deque<MonotonicTime> extra_sends;
 };
 
 }
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -270,7 +270,7 @@
         .with("count", count)
         .with("outcome", outcome)
         .with("requests", level.requests)
-        .with("extras", level.extras)
+        .with("extras", level.extra_sends)
         .with("limit", level.limit)
         .with("part", part);
     this->state.metrics.increment("spurtide_extra_sends_total", "Sends beyond a request's first that were asked of the retry budget", { { "service", this->service }, { "outcome", outcome } }, static_cast<double>(count));
--- a/Tests/LibDecision/TestSendLedger.cpp
+++ b/Tests/LibDecision/TestSendLedger.cpp
@@ -13,9 +13,9 @@
 
 MonotonicTime at_milliseconds(std::int64_t value) { return MonotonicTime {} + milliseconds(value); }
 
-SharedRetryBudget budget_of(double allowance) { return SharedRetryBudget({ .ratio = 0, .allowance = allowance, .window = seconds(10), .safety = 1 }); }
+SharedRetryBudget budget_of(double allowance) { return SharedRetryBudget({ .ratio = 0, .allowance = allowance, .window = seconds(10), .safety_factor = 1 }); }
 
-std::size_t extras_in(SharedRetryBudget& budget, std::int64_t now) { return budget.level(1, at_milliseconds(now)).extras; }
+std::size_t extra_sends_in(SharedRetryBudget& budget, std::int64_t now) { return budget.level(1, at_milliseconds(now)).extra_sends; }
 
 enum class Step {
     PromptRead,
@@ -62,12 +62,12 @@
                 auto const step = STEPS.at(static_cast<std::size_t>(rest % 3));
                 if (send(ledger, step, i))
                     sent.push_back(step);
-                if (extra_arrivals(sent) > static_cast<std::size_t>(allowance) || extra_arrivals(sent) > extras_in(budget, i))
+                if (extra_arrivals(sent) > static_cast<std::size_t>(allowance) || extra_arrivals(sent) > extra_sends_in(budget, i))
                     FAIL("order " << order << " allowance " << allowance << " step " << i);
             }
             ledger.give_back_unused();
-            if (extras_in(budget, LENGTH) != extra_arrivals(sent))
-                FAIL("order " << order << " allowance " << allowance << ": " << extras_in(budget, LENGTH) << " charged, " << extra_arrivals(sent) << " arrived");
+            if (extra_sends_in(budget, LENGTH) != extra_arrivals(sent))
+                FAIL("order " << order << " allowance " << allowance << ": " << extra_sends_in(budget, LENGTH) << " charged, " << extra_arrivals(sent) << " arrived");
         }
     }
 }
@@ -91,8 +91,8 @@
     REQUIRE(send(ledger, Step::Run, 0));
     REQUIRE(ledger.try_pay(SendLedger::Send::Run, 1, at_milliseconds(100)));
     ledger.note_run(at_milliseconds(1500));
-    REQUIRE(extras_in(budget, 10'200) == 1);
-    REQUIRE(extras_in(budget, 11'600) == 0);
+    REQUIRE(extra_sends_in(budget, 10'200) == 1);
+    REQUIRE(extra_sends_in(budget, 11'600) == 0);
 }
 
 TEST_CASE("What is given back was taken by this request, and not lately by another", "[retry-budget]")
@@ -104,7 +104,7 @@
     REQUIRE(send(late, Step::Run, 0));
     REQUIRE(early.try_pay(SendLedger::Send::Run, 1, at_milliseconds(10)));
     REQUIRE(late.try_pay(SendLedger::Send::Run, 1, at_milliseconds(9000)));
-    REQUIRE(extras_in(budget, 10'500) == 1);
+    REQUIRE(extra_sends_in(budget, 10'500) == 1);
     early.give_back_unused();
-    REQUIRE(extras_in(budget, 10'500) == 1);
+    REQUIRE(extra_sends_in(budget, 10'500) == 1);
 }
--- a/Tests/Platform/TestRetryBudget.cpp
+++ b/Tests/Platform/TestRetryBudget.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 /// A window that no run of a test outlasts.
-constexpr SharedRetryBudget::Options BUDGET { .ratio = 0.2, .allowance = 4, .window = seconds(600), .safety = 1 };
+constexpr SharedRetryBudget::Options BUDGET { .ratio = 0.2, .allowance = 4, .window = seconds(600), .safety_factor = 1 };
 
 std::string identifier_of(HttpRequest const& request) { return std::string(request.head.headers.find("X-Spurtide-Attempt-Id").value_or("")); }
 
