--- a/Libraries/LibDecision/SendLedger.cpp
+++ b/Libraries/LibDecision/SendAccounting.cpp
@@ -2,37 +2,37 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibCore/Verify.h>
-#include <LibDecision/SendLedger.h>
+#include <LibDecision/SendAccounting.h>
 #include <algorithm>
 #include <utility>
 
 namespace Spurtide {
 
-std::size_t SendLedger::unpaid(Send send) const
+std::size_t SendAccounting::uncharged(Send send) const
 {
     // A first prefill either is taken up, and the run behind it arrives, or is refused, and arrives itself.
-    std::size_t const more = send == Send::Prefill && this->has_read_prompt ? 2 : 1;
+    std::size_t const more = send == Send::Prefill && this->has_prefilled ? 2 : 1;
     auto const beyond_first = this->arrivals == 0 ? more - 1 : more;
     return beyond_first - std::min(beyond_first, this->unused.size());
 }
 
-bool SendLedger::try_pay(Send send, double part, MonotonicTime now)
+bool SendAccounting::try_charge(Send send, double part, MonotonicTime now)
 {
-    auto const count = this->unpaid(send);
+    auto const count = this->uncharged(send);
     if (count > 0 && !this->budget.try_take(count, part, now))
         return false;
     this->unused.insert(this->unused.end(), count, now);
     return true;
 }
 
-void SendLedger::note_prefill(PrefillEnd end, MonotonicTime now)
+void SendAccounting::note_prefill(PrefillOutcome end, MonotonicTime now)
 {
-    if (end == PrefillEnd::TakenUp && !std::exchange(this->has_read_prompt, true))
+    if (end == PrefillOutcome::Accepted && !std::exchange(this->has_prefilled, true))
         return;
     this->note_arrival(now);
 }
 
-void SendLedger::note_arrival(MonotonicTime now)
+void SendAccounting::note_arrival(MonotonicTime now)
 {
     if (this->arrivals++ == 0)
         return;
@@ -41,7 +41,7 @@
     this->unused.pop_back();
 }
 
-void SendLedger::give_back_unused()
+void SendAccounting::refund_unused()
 {
     for (auto const taken_at : this->unused)
         this->budget.refund(taken_at);
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -93,7 +93,7 @@
         if (this->cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
             this->state.quota->give_back(this->counted_account, this->cost);
     }
-    this->ledger.give_back_unused();
+    this->ledger.refund_unused();
     this->limit.cancel();
 }
 
@@ -251,22 +251,22 @@
 {
     if (sends_so_far >= this->route.maximum_attempts || this->time_left() < least_time || this->is_stopped())
         return SendHistory::AnotherSend::Spent;
-    return this->try_pay(SendLedger::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
+    return this->try_pay(SendAccounting::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
 }
 
-bool RequestFlow::try_pay(SendLedger::Send send)
+bool RequestFlow::try_pay(SendAccounting::Send send)
 {
-    auto const count = this->ledger.unpaid(send);
+    auto const count = this->ledger.uncharged(send);
     if (count == 0)
         return true;
     auto const part = this->state.retry_allowance_part();
-    bool const is_taken = this->ledger.try_pay(send, part, monotonic_now());
+    bool const is_taken = this->ledger.try_charge(send, part, monotonic_now());
     auto const level = this->state.budget_of(this->service).level(part, monotonic_now());
     std::string const outcome = is_taken ? "taken" : "spent";
     LogLine("extra_send")
         .with("request", this->request.identifier)
         .with("service", this->service)
-        .with("for", send == SendLedger::Send::Run ? "run" : "prefill")
+        .with("for", send == SendAccounting::Send::Run ? "run" : "prefill")
         .with("count", count)
         .with("outcome", outcome)
         .with("requests", level.requests)
--- a/Libraries/LibRouter/RequestFlow.h
+++ b/Libraries/LibRouter/RequestFlow.h
@@ -7,7 +7,7 @@
 #include <LibCore/LogLine.h>
 #include <LibDecision/AnswerVerdict.h>
 #include <LibDecision/RequestFingerprint.h>
-#include <LibDecision/SendLedger.h>
+#include <LibDecision/SendAccounting.h>
 #include <LibRouter/RouterState.h>
 #include <functional>
 #include <memory>
@@ -68,7 +68,7 @@
     SendHistory::AnotherSend take_another_send(std::int64_t sends_so_far, Duration least_time);
 
     /// Whether the service's retry budget allows the send; takes from it what the send costs.
-    bool try_pay(SendLedger::Send send);
+    bool try_pay(SendAccounting::Send send);
 
     /// Call when bytes of the request may leave for an upstream, and when that upstream said that it did not
     /// run it: until then it may have run.
@@ -100,7 +100,7 @@
     std::string account;
     std::shared_ptr<std::string const> body;
     Residency residency;
-    SendLedger ledger;
+    SendAccounting ledger;
     MonotonicTime until;
     SendHistory::Earlier earlier = SendHistory::Earlier::HasNotRun;
     int sends = 0;
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -253,7 +253,7 @@
         co_return co_await this->give_up(SendEnd::NotSent, to_string(reserved.error()));
     }
     if (prefill_engine) {
-        if (!this->try_pay(SendLedger::Send::Prefill))
+        if (!this->try_pay(SendAccounting::Send::Prefill))
             co_return co_await this->give_up(SendEnd::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
         UpstreamRecord const prefiller = *prefill_engine;
         auto cache = co_await this->prefill(prefiller);
@@ -336,7 +336,7 @@
     }
     if (head.is_error())
         static_cast<void>(co_await this->report_crash(engine, head.error(), begun));
-    this->ledger.note_prefill(cache ? SendLedger::PrefillEnd::TakenUp : SendLedger::PrefillEnd::NotTakenUp, monotonic_now());
+    this->ledger.note_prefill(cache ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, monotonic_now());
     if (!head.is_error())
         use->note_heard();
     use.reset();
--- a/Tests/LibDecision/TestSendLedger.cpp
+++ b/Tests/LibDecision/TestSendAccounting.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/SendLedger.h>
+#include <LibDecision/SendAccounting.h>
 #include <algorithm>
 #include <array>
 #include <catch2/catch.hpp>
@@ -23,17 +23,17 @@
     Run,
 };
 
-SendLedger::Send send_of(Step step) { return step == Step::Run ? SendLedger::Send::Run : SendLedger::Send::Prefill; }
+SendAccounting::Send send_of(Step step) { return step == Step::Run ? SendAccounting::Send::Run : SendAccounting::Send::Prefill; }
 
 /// Sends one step where the budget has it; gives whether it was sent.
-bool send(SendLedger& ledger, Step step, std::int64_t now)
+bool send(SendAccounting& ledger, Step step, std::int64_t now)
 {
-    if (!ledger.try_pay(send_of(step), 1, at_milliseconds(now)))
+    if (!ledger.try_charge(send_of(step), 1, at_milliseconds(now)))
         return false;
     if (step == Step::Run)
         ledger.note_run(at_milliseconds(now));
     else
-        ledger.note_prefill(step == Step::PromptRead ? SendLedger::PrefillEnd::TakenUp : SendLedger::PrefillEnd::NotTakenUp, at_milliseconds(now));
+        ledger.note_prefill(step == Step::PromptRead ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, at_milliseconds(now));
     return true;
 }
 
@@ -56,7 +56,7 @@
     for (int order = 0; order < ORDERS; ++order) {
         for (int allowance = 0; allowance <= 2 * LENGTH; ++allowance) {
             auto budget = budget_of(allowance);
-            SendLedger ledger(budget);
+            SendAccounting ledger(budget);
             std::vector<Step> sent;
             for (int i = 0, rest = order; i < LENGTH; ++i, rest /= 3) {
                 auto const step = STEPS.at(static_cast<std::size_t>(rest % 3));
@@ -65,7 +65,7 @@
                 if (extra_arrivals(sent) > static_cast<std::size_t>(allowance) || extra_arrivals(sent) > extra_sends_in(budget, i))
                     FAIL("order " << order << " allowance " << allowance << " step " << i);
             }
-            ledger.give_back_unused();
+            ledger.refund_unused();
             if (extra_sends_in(budget, LENGTH) != extra_arrivals(sent))
                 FAIL("order " << order << " allowance " << allowance << ": " << extra_sends_in(budget, LENGTH) << " charged, " << extra_arrivals(sent) << " arrived");
         }
@@ -75,11 +75,11 @@
 TEST_CASE("A prompt is read again only where the run behind it can be paid for", "[retry-budget]")
 {
     auto budget = budget_of(1);
-    SendLedger ledger(budget);
+    SendAccounting ledger(budget);
     REQUIRE(send(ledger, Step::PromptRead, 0));
-    REQUIRE(ledger.unpaid(SendLedger::Send::Prefill) == 1);
+    REQUIRE(ledger.uncharged(SendAccounting::Send::Prefill) == 1);
     REQUIRE(send(ledger, Step::Run, 1));
-    REQUIRE(ledger.unpaid(SendLedger::Send::Prefill) == 2);
+    REQUIRE(ledger.uncharged(SendAccounting::Send::Prefill) == 2);
     REQUIRE_FALSE(send(ledger, Step::PromptRead, 2));
     REQUIRE(send(ledger, Step::Run, 3));
 }
@@ -87,9 +87,9 @@
 TEST_CASE("What was paid before it leaves counts within the window from when it leaves", "[retry-budget]")
 {
     auto budget = budget_of(1);
-    SendLedger ledger(budget);
+    SendAccounting ledger(budget);
     REQUIRE(send(ledger, Step::Run, 0));
-    REQUIRE(ledger.try_pay(SendLedger::Send::Run, 1, at_milliseconds(100)));
+    REQUIRE(ledger.try_charge(SendAccounting::Send::Run, 1, at_milliseconds(100)));
     ledger.note_run(at_milliseconds(1500));
     REQUIRE(extra_sends_in(budget, 10'200) == 1);
     REQUIRE(extra_sends_in(budget, 11'600) == 0);
@@ -98,13 +98,13 @@
 TEST_CASE("What is given back was taken by this request, and not lately by another", "[retry-budget]")
 {
     auto budget = budget_of(2);
-    SendLedger early(budget);
-    SendLedger late(budget);
+    SendAccounting early(budget);
+    SendAccounting late(budget);
     REQUIRE(send(early, Step::Run, 0));
     REQUIRE(send(late, Step::Run, 0));
-    REQUIRE(early.try_pay(SendLedger::Send::Run, 1, at_milliseconds(10)));
-    REQUIRE(late.try_pay(SendLedger::Send::Run, 1, at_milliseconds(9000)));
+    REQUIRE(early.try_charge(SendAccounting::Send::Run, 1, at_milliseconds(10)));
+    REQUIRE(late.try_charge(SendAccounting::Send::Run, 1, at_milliseconds(9000)));
     REQUIRE(extra_sends_in(budget, 10'500) == 1);
-    early.give_back_unused();
+    early.refund_unused();
     REQUIRE(extra_sends_in(budget, 10'500) == 1);
 }
