--- a/Libraries/LibDecision/MembershipTable.cpp
+++ b/Libraries/LibDecision/MembershipTable.cpp
@@ -16,25 +16,25 @@
 
 MemberDigest digest_of(MemberRecord const& record)
 {
-    return { record.virtual_machine, record.incarnation, record.version, record.life, record.configuration_generation };
+    return { record.virtual_machine, record.incarnation, record.version, record.liveness, record.configuration_generation };
 }
 
 /// Of two words on the same version of a VM the graver one counts.
-int gravity(MemberLife life)
+int severity(MemberLiveness liveness)
 {
-    switch (life) {
-    case MemberLife::Alive:
-    case MemberLife::Leaving:
+    switch (liveness) {
+    case MemberLiveness::Alive:
+    case MemberLiveness::Leaving:
         return 0;
-    case MemberLife::Suspect:
+    case MemberLiveness::Suspect:
         return 1;
-    case MemberLife::Dead:
+    case MemberLiveness::Dead:
         return 2;
     }
     return 0;
 }
 
-bool has_cause_to_refute(MemberLife life) { return gravity(life) > 0; }
+bool needs_refutation(MemberLiveness liveness) { return severity(liveness) > 0; }
 
 std::uint64_t round_score(std::string_view name, std::uint64_t seed)
 {
@@ -43,10 +43,10 @@
 
 }
 
-std::string_view to_string(MemberLife life)
+std::string_view to_string(MemberLiveness liveness)
 {
     constexpr std::array<std::string_view, 4> NAMES = { "alive", "suspect", "dead", "leaving" };
-    return NAMES.at(static_cast<std::size_t>(life));
+    return NAMES.at(static_cast<std::size_t>(liveness));
 }
 
 std::uint64_t member_key(MemberRecord const& record)
@@ -82,7 +82,7 @@
 void MembershipTable::leave()
 {
     auto& self = this->members.at(this->self_name);
-    self.record.life = MemberLife::Leaving;
+    self.record.liveness = MemberLiveness::Leaving;
     ++self.record.version;
     this->note_change(self, self.since);
 }
@@ -93,7 +93,7 @@
     std::vector<std::pair<std::uint64_t, std::string_view>> ranked;
     ranked.reserve(this->members.size());
     for (auto const& [name, member] : this->members) {
-        if (name != this->self_name && member.record.life != MemberLife::Dead)
+        if (name != this->self_name && member.record.liveness != MemberLiveness::Dead)
             ranked.emplace_back(round_score(name, own_seed), name);
     }
     auto const count = std::min(most, ranked.size());
@@ -111,7 +111,7 @@
     // A neighbour may have died since the round began.
     auto const is_target = [&](std::string const& name) {
         auto const found = this->members.find(name);
-        return found != this->members.end() && found->second.record.life != MemberLife::Dead;
+        return found != this->members.end() && found->second.record.liveness != MemberLiveness::Dead;
     };
     bool has_new_round = false;
     while (targets.size() < count) {
@@ -140,7 +140,7 @@
     for (auto const& [name, member] : this->members) {
         if (added >= this->options.suspects_probed)
             return;
-        if (member.record.life != MemberLife::Suspect || !this->is_prober_of(name) || std::find(targets.begin(), targets.end(), name) != targets.end())
+        if (member.record.liveness != MemberLiveness::Suspect || !this->is_prober_of(name) || std::find(targets.begin(), targets.end(), name) != targets.end())
             continue;
         targets.push_back(name);
         ++added;
@@ -156,7 +156,7 @@
 {
     std::vector<MemberDigest> digests = { digest_of(this->self()) };
     auto const told = this->members.find(target);
-    if (told != this->members.end() && has_cause_to_refute(told->second.record.life))
+    if (told != this->members.end() && needs_refutation(told->second.record.liveness))
         digests.push_back(digest_of(told->second.record));
     std::vector<Member*> news;
     for (auto& [name, member] : this->members) {
@@ -193,9 +193,9 @@
         return false;
     if (told > known)
         return true;
-    if (gravity(digest.life) <= gravity(record.life))
+    if (severity(digest.liveness) <= severity(record.liveness))
         return false;
-    this->set_life(member, digest.life, now);
+    this->set_liveness(member, digest.liveness, now);
     return false;
 }
 
@@ -206,14 +206,14 @@
         auto const found = this->members.find(digest.virtual_machine);
         if (digest.virtual_machine == this->self_name) {
             auto const& self = found->second.record;
-            bool const is_doubted = has_cause_to_refute(digest.life) && digest.incarnation == self.incarnation && digest.version == self.version;
+            bool const is_doubted = needs_refutation(digest.liveness) && digest.incarnation == self.incarnation && digest.version == self.version;
             if (is_doubted || std::tie(digest.incarnation, digest.version) > std::tie(self.incarnation, self.version))
                 this->refute(digest.incarnation, digest.version);
             continue;
         }
         if (found == this->members.end()) {
             // A record that was forgotten as dead must not come back by an old word of it.
-            if (digest.life != MemberLife::Dead)
+            if (digest.liveness != MemberLiveness::Dead)
                 wanted.push_back(digest.virtual_machine);
             continue;
         }
@@ -230,7 +230,7 @@
             continue;
         auto const found = this->members.find(record.virtual_machine);
         if (found == this->members.end()) {
-            if (record.life == MemberLife::Dead)
+            if (record.liveness == MemberLiveness::Dead)
                 continue;
             auto& member = this->members.emplace(record.virtual_machine, Member { record, now, 0 }).first->second;
             this->note_change(member, now);
@@ -253,7 +253,7 @@
     std::vector<std::uint64_t> keys;
     keys.reserve(this->members.size());
     for (auto const& [name, member] : this->members) {
-        if (member.record.life != MemberLife::Dead)
+        if (member.record.liveness != MemberLiveness::Dead)
             keys.push_back(member_key(member.record));
     }
     return keys;
@@ -265,7 +265,7 @@
     std::vector<MemberRecord const*> lacking;
     for (auto const& [name, member] : this->members) {
         bool const is_told = told.erase(member_key(member.record)) > 0;
-        if (!is_told && member.record.life != MemberLife::Dead && name != virtual_machine)
+        if (!is_told && member.record.liveness != MemberLiveness::Dead && name != virtual_machine)
             lacking.push_back(&member.record);
     }
     if (lacking.size() > most) {
@@ -295,17 +295,17 @@
 MembershipTable::Doubt MembershipTable::note_no_answer(std::string_view virtual_machine, MonotonicTime now)
 {
     auto const found = this->members.find(virtual_machine);
-    if (found == this->members.end() || has_cause_to_refute(found->second.record.life))
+    if (found == this->members.end() || needs_refutation(found->second.record.liveness))
         return Doubt::Known;
-    this->set_life(found->second, MemberLife::Suspect, now);
+    this->set_liveness(found->second, MemberLiveness::Suspect, now);
     return Doubt::New;
 }
 
 // A word of doubt on top of a VM's own word that it leaves says that it is gone.
-void MembershipTable::set_life(Member& member, MemberLife life, MonotonicTime now)
+void MembershipTable::set_liveness(Member& member, MemberLiveness liveness, MonotonicTime now)
 {
-    member.has_left = member.has_left || member.record.life == MemberLife::Leaving;
-    member.record.life = life;
+    member.has_left = member.has_left || member.record.liveness == MemberLiveness::Leaving;
+    member.record.liveness = liveness;
     this->note_change(member, now);
 }
 
@@ -313,14 +313,14 @@
 {
     std::set<std::string> answering;
     for (auto& [name, member] : this->members) {
-        if (member.record.life == MemberLife::Suspect && now - member.since >= this->options.suspicion_timeout)
-            this->set_life(member, MemberLife::Dead, now);
-        if (member.record.life == MemberLife::Alive)
+        if (member.record.liveness == MemberLiveness::Suspect && now - member.since >= this->options.suspicion_timeout)
+            this->set_liveness(member, MemberLiveness::Dead, now);
+        if (member.record.liveness == MemberLiveness::Alive)
             answering.insert(data_centre_of(member.record));
     }
     auto const is_forgotten = [&](auto const& entry) {
         auto const& member = entry.second;
-        if (member.record.life != MemberLife::Dead || now - member.since < this->options.forget_after)
+        if (member.record.liveness != MemberLiveness::Dead || now - member.since < this->options.forget_after)
             return false;
         return member.has_left || answering.contains(data_centre_of(member.record));
     };
@@ -332,7 +332,7 @@
 {
     auto count = this->count();
     for (auto const& [name, member] : this->members) {
-        if (member.record.life != MemberLife::Alive || data_centre_of(member.record) == data_centre)
+        if (member.record.liveness != MemberLiveness::Alive || data_centre_of(member.record) == data_centre)
             continue;
         --count.live;
         ++count.missing;
@@ -344,8 +344,8 @@
 {
     VirtualMachineCount count;
     for (auto const& [name, member] : this->members) {
-        bool const is_silent = member.record.life == MemberLife::Suspect || member.record.life == MemberLife::Dead;
-        count.live += member.record.life == MemberLife::Alive ? 1 : 0;
+        bool const is_silent = member.record.liveness == MemberLiveness::Suspect || member.record.liveness == MemberLiveness::Dead;
+        count.live += member.record.liveness == MemberLiveness::Alive ? 1 : 0;
         count.missing += is_silent && !member.has_left ? 1 : 0;
     }
     return count;
@@ -355,7 +355,7 @@
 {
     SendingMachines machines { 0, 0 };
     for (auto const& [name, member] : this->members) {
-        if (member.record.life == MemberLife::Leaving)
+        if (member.record.liveness == MemberLiveness::Leaving)
             continue;
         ++machines.count;
         machines.rank += name < this->self_name ? 1 : 0;
@@ -367,7 +367,7 @@
 {
     return static_cast<std::size_t>(std::count_if(this->members.begin(), this->members.end(), [&](auto const& member) {
         auto const& record = member.second.record;
-        return record.life == MemberLife::Alive && record.incarnation > incarnation;
+        return record.liveness == MemberLiveness::Alive && record.incarnation > incarnation;
     }));
 }
 
@@ -383,7 +383,7 @@
 {
     std::vector<MemberRecord> live;
     for (auto const& [name, member] : this->members) {
-        if (member.record.life != MemberLife::Dead)
+        if (member.record.liveness != MemberLiveness::Dead)
             live.push_back(member.record);
     }
     return live;
@@ -394,7 +394,7 @@
     return std::any_of(this->members.begin(), this->members.end(), [&](auto const& entry) {
         auto const& record = entry.second.record;
         auto const listens = [&](ServiceEndpoint const& service) { return service.endpoint == endpoint; };
-        return record.life != MemberLife::Dead && std::any_of(record.services.begin(), record.services.end(), listens);
+        return record.liveness != MemberLiveness::Dead && std::any_of(record.services.begin(), record.services.end(), listens);
     });
 }
 
--- a/Libraries/LibDecision/MembershipTable.h
+++ b/Libraries/LibDecision/MembershipTable.h
@@ -17,14 +17,14 @@
 
 namespace Spurtide {
 
-enum class MemberLife {
+enum class MemberLiveness {
     Alive,
     Suspect,
     Dead,
     Leaving,
 };
 
-std::string_view to_string(MemberLife life);
+std::string_view to_string(MemberLiveness liveness);
 
 /// A service that a process of a VM hosts, and where it listens.
 struct ServiceEndpoint {
@@ -43,7 +43,7 @@
     std::int64_t incarnation = 0;
     /// Raised by the VM alone, when its services change, when it leaves, and to refute a suspicion.
     std::int64_t version = 0;
-    MemberLife life = MemberLife::Alive;
+    MemberLiveness liveness = MemberLiveness::Alive;
     std::int64_t configuration_generation = 0;
     std::vector<ServiceEndpoint> services;
 };
@@ -53,7 +53,7 @@
     std::string virtual_machine;
     std::int64_t incarnation = 0;
     std::int64_t version = 0;
-    MemberLife life = MemberLife::Alive;
+    MemberLiveness liveness = MemberLiveness::Alive;
     std::int64_t configuration_generation = 0;
 };
 
@@ -168,7 +168,7 @@
     void add_suspects(std::vector<std::string>& targets) const;
     bool is_prober_of(std::string const& suspect) const;
     void note_change(Member& member, MonotonicTime now);
-    void set_life(Member& member, MemberLife life, MonotonicTime now);
+    void set_liveness(Member& member, MemberLiveness liveness, MonotonicTime now);
     void refute(std::int64_t incarnation, std::int64_t version);
     bool take_digest(Member& member, MemberDigest const& digest, MonotonicTime now);
 
--- a/Libraries/LibWire/ServiceDirectory.cpp
+++ b/Libraries/LibWire/ServiceDirectory.cpp
@@ -18,7 +18,7 @@
 
 bool takes_new_work(MemberRecord const& member)
 {
-    return member.life == MemberLife::Alive || member.life == MemberLife::Suspect;
+    return member.liveness == MemberLiveness::Alive || member.liveness == MemberLiveness::Suspect;
 }
 
 }
@@ -97,7 +97,7 @@
 {
     std::scoped_lock const lock(this->mutex);
     for (auto const& member : this->current_members) {
-        if (member.life == MemberLife::Dead)
+        if (member.liveness == MemberLiveness::Dead)
             continue;
         for (auto const& service : member.services) {
             if (service.incarnation == incarnation)
@@ -112,7 +112,7 @@
     std::scoped_lock const lock(this->mutex);
     std::vector<std::string> names;
     for (auto const& member : this->current_members) {
-        if (member.life == MemberLife::Alive && endpoint_of(member, service))
+        if (member.liveness == MemberLiveness::Alive && endpoint_of(member, service))
             names.push_back(member.virtual_machine);
     }
     return names;
--- a/Libraries/LibWire/WireMembers.cpp
+++ b/Libraries/LibWire/WireMembers.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 // A peer of a later version may send a life this one does not know; it is treated as suspect.
-MemberLife read_life(std::int32_t value)
+MemberLiveness read_life(std::int32_t value)
 {
-    if (value < 0 || value > static_cast<std::int32_t>(MemberLife::Leaving))
-        return MemberLife::Suspect;
-    return static_cast<MemberLife>(value);
+    if (value < 0 || value > static_cast<std::int32_t>(MemberLiveness::Leaving))
+        return MemberLiveness::Suspect;
+    return static_cast<MemberLiveness>(value);
 }
 
 }
@@ -22,7 +22,7 @@
     message.set_vm(record.virtual_machine);
     message.set_incarnation(record.incarnation);
     message.set_version(record.version);
-    message.set_life(static_cast<std::int32_t>(record.life));
+    message.set_life(static_cast<std::int32_t>(record.liveness));
     message.set_generation(record.configuration_generation);
     if (!record.services.empty()) {
         message.set_endpoint(record.services.front().endpoint);
@@ -46,7 +46,7 @@
     record.virtual_machine = message.vm();
     record.incarnation = message.incarnation();
     record.version = message.version();
-    record.life = read_life(message.life());
+    record.liveness = read_life(message.life());
     record.configuration_generation = message.generation();
     for (auto const& service : message.hosted())
         record.services.push_back({ service, message.endpoint(), message.process() });
@@ -60,7 +60,7 @@
     message.set_vm(digest.virtual_machine);
     message.set_incarnation(digest.incarnation);
     message.set_version(digest.version);
-    message.set_life(static_cast<std::int32_t>(digest.life));
+    message.set_life(static_cast<std::int32_t>(digest.liveness));
     message.set_generation(digest.configuration_generation);
 }
 
--- a/Services/AdminServer/AdminServer.cpp
+++ b/Services/AdminServer/AdminServer.cpp
@@ -50,8 +50,8 @@
 
 std::string_view life_name(std::int32_t life)
 {
-    constexpr auto LAST = static_cast<std::int32_t>(MemberLife::Leaving);
-    return life < 0 || life > LAST ? "unknown" : to_string(static_cast<MemberLife>(life));
+    constexpr auto LAST = static_cast<std::int32_t>(MemberLiveness::Leaving);
+    return life < 0 || life > LAST ? "unknown" : to_string(static_cast<MemberLiveness>(life));
 }
 
 }
@@ -250,7 +250,7 @@
     auto cells = nlohmann::json::array();
     for (auto const& member : this->kernel->directory().members()) {
         auto const endpoint = this->kernel->directory().resolve_on(member.virtual_machine, "placement");
-        if (!endpoint || member.life == MemberLife::Dead)
+        if (!endpoint || member.liveness == MemberLiveness::Dead)
             continue;
         wire::Envelope envelope;
         envelope.set_service("placement");
--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -71,11 +71,11 @@
             this->run_second(at_milliseconds(from_second * 1000));
     }
 
-    bool everyone_sees(std::string const& name, MemberLife life) const
+    bool everyone_sees(std::string const& name, MemberLiveness liveness) const
     {
         for (std::size_t i = 0; i < this->tables.size(); ++i) {
             auto const seen = this->tables[i].find(name);
-            if (!this->silent[i] && this->names[i] != name && (!seen || seen->life != life))
+            if (!this->silent[i] && this->names[i] != name && (!seen || seen->liveness != liveness))
                 return false;
         }
         return true;
@@ -140,10 +140,10 @@
         Gossip gossip(count, 11);
         gossip.run(0, 30);
         for (auto const& name : gossip.names)
-            REQUIRE(gossip.everyone_sees(name, MemberLife::Alive));
+            REQUIRE(gossip.everyone_sees(name, MemberLiveness::Alive));
         gossip.silent[0] = true;
         std::int64_t second = 30;
-        while (!gossip.everyone_sees("vm-0", MemberLife::Dead)) {
+        while (!gossip.everyone_sees("vm-0", MemberLiveness::Dead)) {
             gossip.run_second(at_milliseconds(second++ * 1000));
             REQUIRE(second - 30 <= 12);
         }
@@ -161,7 +161,7 @@
                 gossip.run_second(at_milliseconds(second * 1000));
                 for (auto const& table : gossip.tables) {
                     for (auto const& member : table.all_members())
-                        REQUIRE(member.life != MemberLife::Dead);
+                        REQUIRE(member.liveness != MemberLiveness::Dead);
                 }
             }
         }
@@ -177,9 +177,9 @@
     gossip.silent[5] = false;
     for (std::int64_t second = 23; second < 40; ++second) {
         gossip.run(second, second + 1);
-        REQUIRE_FALSE(gossip.everyone_sees("vm-5", MemberLife::Dead));
+        REQUIRE_FALSE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
     }
-    CHECK(gossip.everyone_sees("vm-5", MemberLife::Alive));
+    CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
 TEST_CASE("A VM that wakes after it was declared dead is alive again everywhere", "[held][freeze][lapsed-lease]")
@@ -188,10 +188,10 @@
     gossip.run(0, 20);
     gossip.silent[5] = true;
     gossip.run(20, 40);
-    REQUIRE(gossip.everyone_sees("vm-5", MemberLife::Dead));
+    REQUIRE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
     gossip.silent[5] = false;
     gossip.run(40, 50);
-    CHECK(gossip.everyone_sees("vm-5", MemberLife::Alive));
+    CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
 TEST_CASE("The heartbeat's size does not grow with the data centre")
@@ -217,8 +217,8 @@
     older.services = services("old");
     table.merge_records(std::vector { older }, at_milliseconds(1));
     CHECK(table.find("vm-1")->services == services("new"));
-    CHECK(table.merge_digests(std::vector { MemberDigest { "vm-1", 4, 100, MemberLife::Dead, 0 } }, at_milliseconds(2)).empty());
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.merge_digests(std::vector { MemberDigest { "vm-1", 4, 100, MemberLiveness::Dead, 0 } }, at_milliseconds(2)).empty());
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
 TEST_CASE("A suspicion is refuted by the VM's own raised version alone")
@@ -227,21 +227,21 @@
     MembershipTable other({}, record("vm-1"));
     table.merge_records(std::vector { other.self() }, at_milliseconds(0));
     table.note_no_answer("vm-1", at_milliseconds(0));
-    REQUIRE(table.find("vm-1")->life == MemberLife::Suspect);
+    REQUIRE(table.find("vm-1")->liveness == MemberLiveness::Suspect);
     table.merge_records(std::vector { other.self() }, at_milliseconds(10));
-    CHECK(table.find("vm-1")->life == MemberLife::Suspect);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Suspect);
     other.merge_digests(table.digests_for("vm-1"), at_milliseconds(20));
     CHECK(table.merge_digests(other.digests_for("vm-0"), at_milliseconds(30)) == std::vector<std::string> { "vm-1" });
     table.merge_records(std::vector { other.self() }, at_milliseconds(40));
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
     table.advance(at_milliseconds(10'000));
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
 TEST_CASE("A VM that hears a newer record of itself outbids it")
 {
     MembershipTable table({}, record("vm-0", 5));
-    table.merge_digests(std::vector { MemberDigest { "vm-0", 7, 1000, MemberLife::Alive, 0 } }, at_milliseconds(0));
+    table.merge_digests(std::vector { MemberDigest { "vm-0", 7, 1000, MemberLiveness::Alive, 0 } }, at_milliseconds(0));
     CHECK(table.self().incarnation == 7);
     CHECK(table.self().version == 1001);
 }
@@ -252,10 +252,10 @@
     gossip.run(0, 20);
     gossip.tables[3].leave();
     gossip.run(20, 30);
-    CHECK(gossip.everyone_sees("vm-3", MemberLife::Leaving));
+    CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Leaving));
     gossip.silent[3] = true;
     gossip.run(30, 45);
-    CHECK(gossip.everyone_sees("vm-3", MemberLife::Dead));
+    CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Dead));
 }
 
 namespace {
@@ -405,10 +405,10 @@
 
     static std::string data_centre_of(MemberRecord const& member) { return member.virtual_machine.substr(0, 3); }
 
-    void tell(std::string const& name, MemberLife life, std::int64_t version)
+    void tell(std::string const& name, MemberLiveness liveness, std::int64_t version)
     {
         auto told = record(name);
-        told.life = life;
+        told.liveness = liveness;
         told.version = version;
         this->table.merge_records(std::array { told }, this->now);
     }
@@ -427,7 +427,7 @@
     test.lose({ "far-1" }, seconds(1));
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
     test.pass(seconds(5));
-    REQUIRE(test.table.find("far-1")->life == MemberLife::Dead);
+    REQUIRE(test.table.find("far-1")->liveness == MemberLiveness::Dead);
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
     CHECK(test.table.count().part_of_each() == 0.25);
 }
@@ -439,7 +439,7 @@
     test.lose({ "far-1", "far-2" }, seconds(3600));
     CHECK(test.table.count() == VirtualMachineCount { 2, 2 });
     // One is back, and what becomes of the other is known now.
-    test.tell("far-1", MemberLife::Alive, 1);
+    test.tell("far-1", MemberLiveness::Alive, 1);
     test.pass(seconds(2));
     CHECK(test.table.count() == VirtualMachineCount { 3, 0 });
 }
@@ -463,12 +463,12 @@
 TEST_CASE("A VM that left as planned is no loss, and one that comes back and is lost is", "[planned-stop]")
 {
     TwoDataCentres test;
-    test.tell("far-1", MemberLife::Leaving, 1);
-    test.tell("far-2", MemberLife::Leaving, 1);
+    test.tell("far-1", MemberLiveness::Leaving, 1);
+    test.tell("far-2", MemberLiveness::Leaving, 1);
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
     test.lose({ "far-1", "far-2" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
-    test.tell("far-1", MemberLife::Alive, 2);
+    test.tell("far-1", MemberLiveness::Alive, 2);
     test.lose({ "far-1" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 1 });
     // The other's data centre is silent, but it went by its own will.
@@ -538,8 +538,8 @@
     gossip.acquaint();
     // The news that all started have gone round.
     gossip.run(0, 40);
-    REQUIRE(gossip.everyone_sees("vm-23", MemberLife::Alive));
+    REQUIRE(gossip.everyone_sees("vm-23", MemberLiveness::Alive));
     gossip.silent[23] = true;
     gossip.run(40, 50);
-    CHECK(gossip.everyone_sees("vm-23", MemberLife::Dead));
+    CHECK(gossip.everyone_sees("vm-23", MemberLiveness::Dead));
 }
--- a/Tests/LibWire/TestWireMembers.cpp
+++ b/Tests/LibWire/TestWireMembers.cpp
@@ -13,7 +13,7 @@
     record.virtual_machine = "front-7";
     record.incarnation = 1'760'000'000'000;
     record.version = 3;
-    record.life = MemberLife::Leaving;
+    record.liveness = MemberLiveness::Leaving;
     record.configuration_generation = 12;
     for (auto const* name : { "directory", "config", "placement" })
         record.services.push_back({ name, "tcp://127.0.0.1:8146", "front-7.0123456789abcdef" });
@@ -29,7 +29,7 @@
     CHECK(back.virtual_machine == record.virtual_machine);
     CHECK(back.incarnation == record.incarnation);
     CHECK(back.version == record.version);
-    CHECK(back.life == record.life);
+    CHECK(back.liveness == record.liveness);
     CHECK(back.configuration_generation == record.configuration_generation);
     CHECK(back.services == record.services);
     CHECK(read_record(wire::MemberRecord {}).services.empty());
