--- a/Libraries/LibDecision/MembershipTable.cpp
+++ b/Libraries/LibDecision/MembershipTable.cpp
@@ -36,7 +36,7 @@
 
 bool needs_refutation(MemberLiveness liveness) { return severity(liveness) > 0; }
 
-std::uint64_t round_score(std::string_view name, std::uint64_t seed)
+std::uint64_t hash_with_seed(std::string_view name, std::uint64_t seed)
 {
     return XXH3_64bits_withSeed(name.data(), name.size(), seed);
 }
@@ -58,13 +58,13 @@
     : options(options)
     , self_name(self.virtual_machine)
 {
-    this->members.emplace(this->self_name, Member { std::move(self), {}, options.news_transmissions });
+    this->members.emplace(this->self_name, Member { std::move(self), {}, options.transmissions_per_update });
 }
 
 void MembershipTable::note_change(Member& member, MonotonicTime now)
 {
     member.since = now;
-    member.transmissions_left = this->options.news_transmissions;
+    member.remaining_transmissions = this->options.transmissions_per_update;
     ++this->current_version;
 }
 
@@ -89,12 +89,12 @@
 
 std::vector<std::string> MembershipTable::neighbours(std::size_t most) const
 {
-    auto const own_seed = round_score(this->self_name, 0);
+    auto const own_seed = hash_with_seed(this->self_name, 0);
     std::vector<std::pair<std::uint64_t, std::string_view>> ranked;
     ranked.reserve(this->members.size());
     for (auto const& [name, member] : this->members) {
         if (name != this->self_name && member.record.liveness != MemberLiveness::Dead)
-            ranked.emplace_back(round_score(name, own_seed), name);
+            ranked.emplace_back(hash_with_seed(name, own_seed), name);
     }
     auto const count = std::min(most, ranked.size());
     std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end());
@@ -118,11 +118,11 @@
         if (this->round.empty()) {
             if (std::exchange(has_new_round, true))
                 break;
-            auto const seed = round_score(this->self_name, ++this->round_number);
+            auto const seed = hash_with_seed(this->self_name, ++this->round_number);
             this->round = this->neighbours(this->options.neighbours);
             if (this->round.empty())
                 break;
-            std::sort(this->round.begin(), this->round.end(), [&](auto const& a, auto const& b) { return round_score(a, seed) < round_score(b, seed); });
+            std::sort(this->round.begin(), this->round.end(), [&](auto const& a, auto const& b) { return hash_with_seed(a, seed) < hash_with_seed(b, seed); });
         }
         if (is_target(this->round.back()))
             targets.push_back(this->round.back());
@@ -138,7 +138,7 @@
 {
     std::size_t added = 0;
     for (auto const& [name, member] : this->members) {
-        if (added >= this->options.suspects_probed)
+        if (added >= this->options.suspects_per_period)
             return;
         if (member.record.liveness != MemberLiveness::Suspect || !this->is_prober_of(name) || std::find(targets.begin(), targets.end(), name) != targets.end())
             continue;
@@ -149,7 +149,7 @@
 
 bool MembershipTable::is_prober_of(std::string const& suspect) const
 {
-    return round_score(suspect, round_score(this->self_name, 0)) % this->members.size() < this->options.probers_of_suspect;
+    return hash_with_seed(suspect, hash_with_seed(this->self_name, 0)) % this->members.size() < this->options.probers_per_suspect;
 }
 
 std::vector<MemberDigest> MembershipTable::digests_for(std::string_view target)
@@ -160,14 +160,14 @@
         digests.push_back(digest_of(told->second.record));
     std::vector<Member*> news;
     for (auto& [name, member] : this->members) {
-        if (member.transmissions_left > 0 && name != this->self_name && name != target)
+        if (member.remaining_transmissions > 0 && name != this->self_name && name != target)
             news.push_back(&member);
     }
     // What was told least goes first.
-    std::sort(news.begin(), news.end(), [](auto const* a, auto const* b) { return a->transmissions_left > b->transmissions_left; });
-    news.resize(std::min(news.size(), this->options.news_per_message));
+    std::sort(news.begin(), news.end(), [](auto const* a, auto const* b) { return a->remaining_transmissions > b->remaining_transmissions; });
+    news.resize(std::min(news.size(), this->options.updates_per_message));
     for (auto* member : news) {
-        --member->transmissions_left;
+        --member->remaining_transmissions;
         digests.push_back(digest_of(member->record));
     }
     return digests;
@@ -206,8 +206,8 @@
         auto const found = this->members.find(digest.virtual_machine);
         if (digest.virtual_machine == this->self_name) {
             auto const& self = found->second.record;
-            bool const is_doubted = needs_refutation(digest.liveness) && digest.incarnation == self.incarnation && digest.version == self.version;
-            if (is_doubted || std::tie(digest.incarnation, digest.version) > std::tie(self.incarnation, self.version))
+            bool const is_suspected = needs_refutation(digest.liveness) && digest.incarnation == self.incarnation && digest.version == self.version;
+            if (is_suspected || std::tie(digest.incarnation, digest.version) > std::tie(self.incarnation, self.version))
                 this->refute(digest.incarnation, digest.version);
             continue;
         }
@@ -269,15 +269,15 @@
             lacking.push_back(&member.record);
     }
     if (lacking.size() > most) {
-        auto const seed = round_score(virtual_machine, 0);
-        auto const score = [&](MemberRecord const* record) { return round_score(record->virtual_machine, seed); };
+        auto const seed = hash_with_seed(virtual_machine, 0);
+        auto const score = [&](MemberRecord const* record) { return hash_with_seed(record->virtual_machine, seed); };
         std::nth_element(lacking.begin(), lacking.begin() + static_cast<std::ptrdiff_t>(most), lacking.end(), [&](auto const* one, auto const* other) { return score(one) < score(other); });
         lacking.resize(most);
     }
     Difference difference;
     for (auto const* record : lacking)
-        difference.lacking.push_back(*record);
-    difference.wanted.assign(told.begin(), told.end());
+        difference.missing_records.push_back(*record);
+    difference.unknown_keys.assign(told.begin(), told.end());
     return difference;
 }
 
@@ -292,13 +292,13 @@
     return records;
 }
 
-MembershipTable::Doubt MembershipTable::note_no_answer(std::string_view virtual_machine, MonotonicTime now)
+MembershipTable::Suspicion MembershipTable::mark_suspect(std::string_view virtual_machine, MonotonicTime now)
 {
     auto const found = this->members.find(virtual_machine);
     if (found == this->members.end() || needs_refutation(found->second.record.liveness))
-        return Doubt::Known;
+        return Suspicion::Known;
     this->set_liveness(found->second, MemberLiveness::Suspect, now);
-    return Doubt::New;
+    return Suspicion::New;
 }
 
 // A word of doubt on top of a VM's own word that it leaves says that it is gone.
@@ -328,7 +328,7 @@
         ++this->current_version;
 }
 
-VirtualMachineCount MembershipTable::count_within(std::string_view data_centre, DataCentreOf const& data_centre_of) const
+VirtualMachineCount MembershipTable::count_in_partition(std::string_view data_centre, DataCentreOf const& data_centre_of) const
 {
     auto count = this->count();
     for (auto const& [name, member] : this->members) {
--- a/Libraries/LibDecision/MembershipTable.h
+++ b/Libraries/LibDecision/MembershipTable.h
@@ -70,17 +70,17 @@
         Duration suspicion_timeout = seconds(3);
         Duration forget_after = seconds(120);
         /// Changes carried on one message.
-        std::size_t news_per_message = 8;
+        std::size_t updates_per_message = 8;
         /// How often one change is passed on by one VM.
-        int news_transmissions = 10;
+        int transmissions_per_update = 10;
         /// Suspects that are probed beside the usual targets.
-        std::size_t suspects_probed = 2;
+        std::size_t suspects_per_period = 2;
         /// Members that one VM probes in turn. Each is among those of as many others on average, and news reach all over
         /// them in a few intervals; probing all in turn, a thousand VMs would hold a million connections.
         std::size_t neighbours = 32;
         /// VMs that probe one suspect in a period, on average. With all of them doing so, a suspect of a thousand VMs got
         /// 4,000 probes a second, and could not refute for work.
-        std::size_t probers_of_suspect = 64;
+        std::size_t probers_per_suspect = 64;
     };
 
     MembershipTable(Options options, MemberRecord self);
@@ -110,9 +110,9 @@
     /// VMs that start together, and each VM's whole list from a few seeds is more than the seeds' links carry.
     std::vector<std::uint64_t> keys() const;
     struct Difference {
-        std::vector<MemberRecord> lacking;
+        std::vector<MemberRecord> missing_records;
         /// Keys of members that are not known here.
-        std::vector<std::uint64_t> wanted;
+        std::vector<std::uint64_t> unknown_keys;
     };
     /// What a VM with these keys lacks, at most so many and different ones for different VMs, and what it could tell.
     Difference compare_keys(std::string_view virtual_machine, std::span<std::uint64_t const> keys, std::size_t most) const;
@@ -120,11 +120,11 @@
     std::vector<MemberRecord> records_of(std::span<std::uint64_t const> keys) const;
 
     /// All tries of a probe stayed without an answer.
-    enum class Doubt {
+    enum class Suspicion {
         New,
         Known,
     };
-    Doubt note_no_answer(std::string_view virtual_machine, MonotonicTime now);
+    Suspicion mark_suspect(std::string_view virtual_machine, MonotonicTime now);
     /// When a member was last added; empty before the first.
     std::optional<MonotonicTime> last_joined() const { return this->last_join; }
 
@@ -150,7 +150,7 @@
     std::size_t count_started_after(std::int64_t incarnation) const;
     /// The same on a side that is cut off from all other data centres: their VMs are missing, suspected or not. Suspicion
     /// comes one by one; a second after a cut a side of 27 VMs still counted 49 of the 59 others as answering.
-    VirtualMachineCount count_within(std::string_view data_centre, DataCentreOf const& data_centre_of) const;
+    VirtualMachineCount count_in_partition(std::string_view data_centre, DataCentreOf const& data_centre_of) const;
 
     /// A number that changes whenever a service, a life or a member changed.
     std::int64_t version() const { return this->current_version; }
@@ -160,7 +160,7 @@
         MemberRecord record;
         /// Since when the present life holds.
         MonotonicTime since;
-        int transmissions_left = 0;
+        int remaining_transmissions = 0;
         /// It said that it leaves; what becomes of it then is no loss.
         bool has_left = false;
     };
--- a/Libraries/LibDecision/RouteTable.cpp
+++ b/Libraries/LibDecision/RouteTable.cpp
@@ -21,7 +21,7 @@
 {
     auto least = MOST_RESTING_CONNECTIONS;
     for (auto const& service : services) {
-        auto const part = static_cast<double>(service.maximum_connections) * RESTING_PART * machines.part_of_each();
+        auto const part = static_cast<double>(service.maximum_connections) * RESTING_PART * machines.share_of_each();
         least = std::min(least, static_cast<std::int64_t>(part));
     }
     return static_cast<std::size_t>(std::max<std::int64_t>(1, least));
--- a/Libraries/LibDecision/VirtualMachineCount.h
+++ b/Libraries/LibDecision/VirtualMachineCount.h
@@ -18,7 +18,7 @@
     std::size_t missing = 0;
 
     /// The part of each, 0 to 1.
-    double part_of_each() const { return 1.0 / static_cast<double>(std::max<std::size_t>(1, this->live + this->missing)); }
+    double share_of_each() const { return 1.0 / static_cast<double>(std::max<std::size_t>(1, this->live + this->missing)); }
 
     bool operator==(VirtualMachineCount const&) const = default;
 };
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -35,8 +35,8 @@
 {
     auto const machines = this->hooks.virtual_machines();
     if (standing == Standing::Alone)
-        return machines.part_of_each();
-    auto const part = static_cast<double>(std::max<std::size_t>(1, machines.live)) * machines.part_of_each();
+        return machines.share_of_each();
+    auto const part = static_cast<double>(std::max<std::size_t>(1, machines.live)) * machines.share_of_each();
     return this->ranking.is_own(upstream) ? part : part * STAND_IN_PART;
 }
 
--- a/Services/ConfigServer/MembershipService.cpp
+++ b/Services/ConfigServer/MembershipService.cpp
@@ -76,7 +76,7 @@
 VirtualMachineCount MembershipService::count() const
 {
     if (this->is_cut_off())
-        return this->table.count_within(this->data_centre_of(this->table.self()), this->data_centre_of);
+        return this->table.count_in_partition(this->data_centre_of(this->table.self()), this->data_centre_of);
     return this->table.count();
 }
 
@@ -198,7 +198,7 @@
             return this->probe(virtual_machine, endpoint, tries_left - 1);
         if (virtual_machine.empty() || reply.error().kind == WireErrorKind::Stopped)
             return;
-        if (this->table.note_no_answer(virtual_machine, monotonic_now()) == MembershipTable::Doubt::Known)
+        if (this->table.mark_suspect(virtual_machine, monotonic_now()) == MembershipTable::Suspicion::Known)
             return;
         LogLine("member_unanswered").with("member", virtual_machine);
         this->refresh_directory();
@@ -308,9 +308,9 @@
 void MembershipService::answer_keys(wire::Heartbeat const& heartbeat, std::size_t most, wire::HeartbeatReply& reply) const
 {
     auto const difference = this->table.compare_keys(heartbeat.vm(), { heartbeat.keys().data(), static_cast<std::size_t>(heartbeat.keys_size()) }, most);
-    for (auto const& record : difference.lacking)
+    for (auto const& record : difference.missing_records)
         write_record(record, *reply.add_records());
-    for (auto const key : difference.wanted)
+    for (auto const key : difference.unknown_keys)
         reply.add_wanted_keys(key);
 }
 
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -202,7 +202,7 @@
     bool const may_have_used_it = this->settings.start == NodeSettings::Start::Again && monotonic_now() - this->started_at < this->settings.retry.window;
     if (may_have_used_it || !this->membership->is_settled())
         return 0;
-    return this->membership->count().part_of_each();
+    return this->membership->count().share_of_each();
 }
 
 QuotaCounter::VirtualMachines Node::count_virtual_machines() const
--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -98,7 +98,7 @@
             if (this->exchange(from, to, now))
                 return;
         }
-        this->tables[from].note_no_answer(target, now);
+        this->tables[from].mark_suspect(target, now);
     }
 
     void send(std::size_t from, std::size_t to, MonotonicTime now)
@@ -226,7 +226,7 @@
     MembershipTable table({}, record("vm-0"));
     MembershipTable other({}, record("vm-1"));
     table.merge_records(std::vector { other.self() }, at_milliseconds(0));
-    table.note_no_answer("vm-1", at_milliseconds(0));
+    table.mark_suspect("vm-1", at_milliseconds(0));
     REQUIRE(table.find("vm-1")->liveness == MemberLiveness::Suspect);
     table.merge_records(std::vector { other.self() }, at_milliseconds(10));
     CHECK(table.find("vm-1")->liveness == MemberLiveness::Suspect);
@@ -332,11 +332,11 @@
         std::vector<MemberRecord> const own = { asks.table.self() };
         answers.table.merge_records(own, time);
         auto const difference = answers.table.compare_keys(asks.name, keys, is_new ? 24 : 96);
-        asks.table.merge_records(difference.lacking, time);
-        auto const told = asks.table.records_of(difference.wanted);
+        asks.table.merge_records(difference.missing_records, time);
+        auto const told = asks.table.records_of(difference.unknown_keys);
         answers.table.merge_records(told, time);
         asks.sent_bytes += keys.size() * KEY_BYTES + (told.size() + 1) * RECORD_BYTES;
-        answers.sent_bytes += difference.lacking.size() * RECORD_BYTES + difference.wanted.size() * KEY_BYTES;
+        answers.sent_bytes += difference.missing_records.size() * RECORD_BYTES + difference.unknown_keys.size() * KEY_BYTES;
     }
 };
 
@@ -362,18 +362,18 @@
     MembershipTable table(MembershipTable::Options {}, record("vm-0"));
     std::vector<MemberRecord> const known = { record("vm-1"), record("vm-2", 5), record("vm-3") };
     table.merge_records(known, at_milliseconds(0));
-    CHECK(table.note_no_answer("vm-3", at_milliseconds(0)) == MembershipTable::Doubt::New);
-    CHECK(table.note_no_answer("vm-3", at_milliseconds(100)) == MembershipTable::Doubt::Known);
+    CHECK(table.mark_suspect("vm-3", at_milliseconds(0)) == MembershipTable::Suspicion::New);
+    CHECK(table.mark_suspect("vm-3", at_milliseconds(100)) == MembershipTable::Suspicion::Known);
     table.advance(at_milliseconds(4000));
     CHECK(table.keys().size() == 3);
     // The asker has an earlier start of vm-2, and a VM that is not known here.
     std::vector<std::uint64_t> const keys = { member_key(record("vm-9")), member_key(record("vm-2", 4)), member_key(record("vm-0")), member_key(record("vm-1")) };
     auto const difference = table.compare_keys("vm-9", keys, 10);
-    REQUIRE(difference.lacking.size() == 1);
-    CHECK(difference.lacking[0].virtual_machine == "vm-2");
-    CHECK(difference.wanted.size() == 2);
-    CHECK(table.compare_keys("vm-9", {}, 2).lacking.size() == 2);
-    CHECK(table.compare_keys("vm-9", {}, 0).lacking.empty());
+    REQUIRE(difference.missing_records.size() == 1);
+    CHECK(difference.missing_records[0].virtual_machine == "vm-2");
+    CHECK(difference.unknown_keys.size() == 2);
+    CHECK(table.compare_keys("vm-9", {}, 2).missing_records.size() == 2);
+    CHECK(table.compare_keys("vm-9", {}, 0).missing_records.empty());
     CHECK(table.records_of(keys).size() == 2);
 }
 
@@ -392,7 +392,7 @@
     void lose(std::initializer_list<char const*> names, Duration passed)
     {
         for (auto const* name : names)
-            this->table.note_no_answer(name, this->now);
+            this->table.mark_suspect(name, this->now);
         this->pass(passed);
     }
 
@@ -423,13 +423,13 @@
 {
     TwoDataCentres test;
     CHECK(test.table.count() == VirtualMachineCount { 4, 0 });
-    CHECK(test.table.count().part_of_each() == 0.25);
+    CHECK(test.table.count().share_of_each() == 0.25);
     test.lose({ "far-1" }, seconds(1));
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
     test.pass(seconds(5));
     REQUIRE(test.table.find("far-1")->liveness == MemberLiveness::Dead);
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
-    CHECK(test.table.count().part_of_each() == 0.25);
+    CHECK(test.table.count().share_of_each() == 0.25);
 }
 
 // The pattern: regions lose each other for an hour, and both go on.
@@ -447,9 +447,9 @@
 TEST_CASE("On a side that is cut off the others are missing before each of them is suspected", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
-    CHECK(test.table.count_within("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
+    CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
     test.lose({ "far-1" }, seconds(1));
-    CHECK(test.table.count_within("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
+    CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
 }
 
 TEST_CASE("A VM that is lost in a data centre that answers is forgotten", "[kill]")
@@ -519,7 +519,7 @@
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
     auto tables = acquainted(count);
     for (auto& table : tables)
-        table.note_no_answer("vm-7", at_milliseconds(0));
+        table.mark_suspect("vm-7", at_milliseconds(0));
     for (int period = 0; period < 5; ++period) {
         std::size_t probes = 0;
         for (auto& table : tables) {
