--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -17,9 +17,9 @@
 /// As long as the registry's answers may be.
 constexpr std::size_t LONGEST_CONFIGURATION = 4UL * 1024 * 1024;
 
-PeerNewsTracker::OwnSource source_of(bool follows)
+PeerFetchPolicy::LocalSource source_of(bool follows)
 {
-    return follows ? PeerNewsTracker::OwnSource::Well : PeerNewsTracker::OwnSource::Away;
+    return follows ? PeerFetchPolicy::LocalSource::Available : PeerFetchPolicy::LocalSource::Unavailable;
 }
 
 }
@@ -113,7 +113,7 @@
     if (!endpoint)
         return;
     // From its own watcher a VM takes it at once; another one is asked where that one does not tell in time.
-    auto const source = news.vm() == this->plan.own_watcher() && !this->watches() ? PeerNewsTracker::OwnSource::Away : this->configuration_source();
+    auto const source = news.vm() == this->plan.own_watcher() && !this->watches() ? PeerFetchPolicy::LocalSource::Unavailable : this->configuration_source();
     if (this->configuration_news.should_fetch(news.configuration_version(), this->hooks.configuration_version(), source, now))
         this->fetch_configuration(*endpoint);
 }
@@ -139,10 +139,10 @@
     this->hooks.on_upstreams();
 }
 
-PeerNewsTracker::OwnSource RegistryRelay::configuration_source() const
+PeerFetchPolicy::LocalSource RegistryRelay::configuration_source() const
 {
     if (!this->watches() && this->hooks.configuration_version() > 0)
-        return PeerNewsTracker::OwnSource::Watchers;
+        return PeerFetchPolicy::LocalSource::Watchers;
     return source_of(this->hooks.follows_configuration());
 }
 
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/PeerNewsTracker.h>
+#include <LibDecision/PeerFetchPolicy.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibDecision/WatchPlan.h>
 #include <LibRouter/RegistryFollower.h>
@@ -73,7 +73,7 @@
     void take_news(wire::RegistryNews const& news);
     void take_upstreams_news(wire::RegistryNews const& news);
     void take_configuration(wire::ConfigurationContent const& content, std::string_view source);
-    PeerNewsTracker::OwnSource configuration_source() const;
+    PeerFetchPolicy::LocalSource configuration_source() const;
     std::string const& compressed_document();
     void take_listing(UpstreamListing const& listing, std::string_view source);
     void fetch_configuration(std::string const& endpoint);
@@ -87,8 +87,8 @@
     /// VMs of one data centre find each other by this name.
     std::string news_service;
     WatchPlan plan;
-    PeerNewsTracker configuration_news { PeerNewsTracker::Options {} };
-    PeerNewsTracker upstreams_news { PeerNewsTracker::Options {} };
+    PeerFetchPolicy configuration_news { PeerFetchPolicy::Options {} };
+    PeerFetchPolicy upstreams_news { PeerFetchPolicy::Options {} };
     ConfigurationDocument document;
     /// The same for peers; empty until one asks.
     std::string compressed;
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/PeerNewsTracker.h>
+#include <LibDecision/PeerFetchPolicy.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibDecision/WatchPlan.h>
 #include <Tests/Support/VirtualClock.h>
@@ -179,7 +179,7 @@
 
 TEST_CASE("What a peer knows is fetched where it does not come by itself", "[platform-down][config]")
 {
-    using Source = PeerNewsTracker::OwnSource;
+    using Source = PeerFetchPolicy::LocalSource;
     struct Step {
         int at;
         std::int64_t peers;
@@ -192,17 +192,17 @@
         std::vector<Step> steps;
     };
     auto const row = GENERATE(values<Row>({
-        { "nothing newer", { { 0, 5, 5, Source::Away, false }, { 1000, 4, 5, Source::Away, false } } },
-        { "no source of its own", { { 0, 6, 5, Source::Away, true } } },
-        { "the source brings it", { { 0, 6, 5, Source::Well, false }, { 200, 6, 6, Source::Well, false }, { 900, 6, 6, Source::Well, false } } },
-        { "the source is silent", { { 0, 6, 5, Source::Well, false }, { 299, 6, 5, Source::Well, false }, { 300, 6, 5, Source::Well, true } } },
-        { "the patience is for the first news, not for the newest", { { 0, 6, 5, Source::Well, false }, { 200, 7, 5, Source::Well, false }, { 350, 8, 5, Source::Well, true } } },
-        { "later news have a patience of their own", { { 0, 6, 5, Source::Well, false }, { 290, 7, 6, Source::Well, false }, { 310, 7, 6, Source::Well, false }, { 590, 7, 6, Source::Well, true } } },
-        { "one fetch at a time", { { 0, 6, 5, Source::Away, true }, { 100, 6, 5, Source::Away, false }, { 250, 6, 5, Source::Away, true } } },
+        { "nothing newer", { { 0, 5, 5, Source::Unavailable, false }, { 1000, 4, 5, Source::Unavailable, false } } },
+        { "no source of its own", { { 0, 6, 5, Source::Unavailable, true } } },
+        { "the source brings it", { { 0, 6, 5, Source::Available, false }, { 200, 6, 6, Source::Available, false }, { 900, 6, 6, Source::Available, false } } },
+        { "the source is silent", { { 0, 6, 5, Source::Available, false }, { 299, 6, 5, Source::Available, false }, { 300, 6, 5, Source::Available, true } } },
+        { "the patience is for the first news, not for the newest", { { 0, 6, 5, Source::Available, false }, { 200, 7, 5, Source::Available, false }, { 350, 8, 5, Source::Available, true } } },
+        { "later news have a patience of their own", { { 0, 6, 5, Source::Available, false }, { 290, 7, 6, Source::Available, false }, { 310, 7, 6, Source::Available, false }, { 590, 7, 6, Source::Available, true } } },
+        { "one fetch at a time", { { 0, 6, 5, Source::Unavailable, true }, { 100, 6, 5, Source::Unavailable, false }, { 250, 6, 5, Source::Unavailable, true } } },
         { "watchers may take longer than the registry", { { 0, 6, 5, Source::Watchers, false }, { 599, 6, 5, Source::Watchers, false }, { 600, 6, 5, Source::Watchers, true } } },
-        { "what its own watcher tells is asked for at once", { { 0, 6, 5, Source::Watchers, false }, { 50, 6, 5, Source::Away, true } } },
+        { "what its own watcher tells is asked for at once", { { 0, 6, 5, Source::Watchers, false }, { 50, 6, 5, Source::Unavailable, true } } },
     }));
-    PeerNewsTracker tracker({ milliseconds(300), milliseconds(600), milliseconds(250) });
+    PeerFetchPolicy tracker({ milliseconds(300), milliseconds(600), milliseconds(250) });
     for (auto const& step : row.steps) {
         CAPTURE(row.name, step.at);
         CHECK(tracker.should_fetch(step.peers, step.own, step.source, at_milliseconds(step.at)) == step.fetches);
