--- a/Libraries/LibDecision/UpstreamList.cpp
+++ b/Libraries/LibDecision/UpstreamList.cpp
@@ -9,34 +9,34 @@
 
 void UpstreamList::note_registry(RegistryState state, MonotonicTime now)
 {
-    if (this->registry == RegistryState::Away && state == RegistryState::Well) {
+    if (this->registry == RegistryState::Unreachable && state == RegistryState::Available) {
         this->returned_at = now;
         for (auto& [identity, entry] : this->entries) {
-            if (entry.kept_until)
-                entry.kept_until = now + this->options.lapse_grace;
+            if (entry.retained_until)
+                entry.retained_until = now + this->options.lapse_grace;
         }
     }
     this->registry = state;
 }
 
-bool UpstreamList::was_away_lately(MonotonicTime now) const
+bool UpstreamList::was_recently_unreachable(MonotonicTime now) const
 {
-    return this->registry == RegistryState::Away || (this->returned_at && now - *this->returned_at < this->options.lapse_grace);
+    return this->registry == RegistryState::Unreachable || (this->returned_at && now - *this->returned_at < this->options.lapse_grace);
 }
 
-void UpstreamList::end(std::string const& identity, MonotonicTime now)
+void UpstreamList::remove_or_retain(std::string const& identity, MonotonicTime now)
 {
     auto const found = this->entries.find(identity);
     if (found == this->entries.end())
         return;
     // One that said that it leaves has left.
-    bool const may_come_back = found->second.announced_life == UpstreamRecord::Life::Serving && this->was_away_lately(now);
+    bool const may_come_back = found->second.announced_life == UpstreamRecord::Life::Serving && this->was_recently_unreachable(now);
     if (!may_come_back) {
-        this->kept_entries -= found->second.kept_until ? 1 : 0;
+        this->retained_entries -= found->second.retained_until ? 1 : 0;
         this->entries.erase(found);
-    } else if (!found->second.kept_until) {
-        found->second.kept_until = (this->registry == RegistryState::Away ? now : *this->returned_at) + this->options.lapse_grace;
-        ++this->kept_entries;
+    } else if (!found->second.retained_until) {
+        found->second.retained_until = (this->registry == RegistryState::Unreachable ? now : *this->returned_at) + this->options.lapse_grace;
+        ++this->retained_entries;
     }
 }
 
@@ -45,18 +45,18 @@
     auto const found = this->entries.find(change.identity);
     if (found != this->entries.end() && found->second.version > change.version)
         return true;
-    auto const ended = this->ends.find(change.identity);
-    return ended != this->ends.end() && ended->second > change.version;
+    auto const removed_at = this->removals.find(change.identity);
+    return removed_at != this->removals.end() && removed_at->second > change.version;
 }
 
-void UpstreamList::remember_end(std::string const& identity, std::int64_t version)
+void UpstreamList::remember_removal(std::string const& identity, std::int64_t version)
 {
-    this->ends.insert_or_assign(identity, version);
-    if (this->ends.size() <= this->options.remembered_ends)
+    this->removals.insert_or_assign(identity, version);
+    if (this->removals.size() <= this->options.remembered_removals)
         return;
-    auto const oldest = std::min_element(this->ends.begin(), this->ends.end(), [](auto const& one, auto const& other) { return one.second < other.second; });
-    this->ends_known_from = std::max(this->ends_known_from, oldest->second);
-    this->ends.erase(oldest);
+    auto const oldest = std::min_element(this->removals.begin(), this->removals.end(), [](auto const& one, auto const& other) { return one.second < other.second; });
+    this->removals_known_from = std::max(this->removals_known_from, oldest->second);
+    this->removals.erase(oldest);
 }
 
 void UpstreamList::apply(UpstreamChange const& change, MonotonicTime now)
@@ -66,17 +66,17 @@
     this->current_version = std::max(this->current_version, change.version);
     if (change.record) {
         Entry entry { *change.record, change.record->life, change.version, {} };
-        this->judge_life(entry);
+        this->update_life(entry);
         if (entry.record.cold_for > Duration::zero())
             entry.record.cold_until = now + entry.record.cold_for;
         auto const before = this->entries.find(change.identity);
-        this->kept_entries -= before != this->entries.end() && before->second.kept_until ? 1 : 0;
+        this->retained_entries -= before != this->entries.end() && before->second.retained_until ? 1 : 0;
         this->entries.insert_or_assign(change.identity, std::move(entry));
-        this->ends.erase(change.identity);
+        this->removals.erase(change.identity);
         return;
     }
-    this->end(change.identity, now);
-    this->remember_end(change.identity, change.version);
+    this->remove_or_retain(change.identity, now);
+    this->remember_removal(change.identity, change.version);
 }
 
 void UpstreamList::replace(std::vector<UpstreamChange> const& listed, std::int64_t position, MonotonicTime now)
@@ -87,7 +87,7 @@
     for (auto const& change : listed) {
         identities.insert(change.identity);
         // It came back after an end that is known, since the list is as of a later position.
-        this->ends.erase(change.identity);
+        this->removals.erase(change.identity);
         this->apply(change, now);
     }
     std::vector<std::string> missing;
@@ -96,28 +96,28 @@
             missing.push_back(identity);
     }
     for (auto const& identity : missing)
-        this->end(identity, now);
+        this->remove_or_retain(identity, now);
     // Some may have come and gone before this list was made.
-    this->ends.clear();
-    this->ends_known_from = position;
+    this->removals.clear();
+    this->removals_known_from = position;
 }
 
 UpstreamListing UpstreamList::listing_since(std::int64_t known) const
 {
     UpstreamListing listing;
     listing.version = this->current_version;
-    bool const knows_all_ends = known >= this->ends_known_from;
-    listing.extent = knows_all_ends ? UpstreamListing::Extent::Delta : UpstreamListing::Extent::Snapshot;
+    bool const knows_all_removals = known >= this->removals_known_from;
+    listing.extent = knows_all_removals ? UpstreamListing::Extent::Delta : UpstreamListing::Extent::Snapshot;
     for (auto const& [identity, entry] : this->entries) {
-        if (entry.kept_until || (knows_all_ends && entry.version <= known))
+        if (entry.retained_until || (knows_all_removals && entry.version <= known))
             continue;
         listing.records.push_back(entry.record);
         listing.records.back().life = entry.announced_life;
         listing.records.back().cold_until = {};
     }
-    if (!knows_all_ends)
+    if (!knows_all_removals)
         return listing;
-    for (auto const& [identity, version] : this->ends) {
+    for (auto const& [identity, version] : this->removals) {
         if (version > known)
             listing.removed.push_back(identity);
     }
@@ -141,7 +141,7 @@
     this->current_version = std::max(this->current_version, listing.version);
 }
 
-void UpstreamList::judge_life(Entry& entry) const
+void UpstreamList::update_life(Entry& entry) const
 {
     entry.record.life = this->evacuation_table.is_evacuated(entry.record.data_centre) ? UpstreamRecord::Life::Leaving : entry.announced_life;
 }
@@ -151,17 +151,17 @@
     auto changes = this->evacuation_table.take(news);
     if (!changes.empty()) {
         for (auto& [identity, entry] : this->entries)
-            this->judge_life(entry);
+            this->update_life(entry);
     }
     return changes;
 }
 
 bool UpstreamList::advance(MonotonicTime now)
 {
-    if (this->registry == RegistryState::Away || this->kept_entries == 0)
+    if (this->registry == RegistryState::Unreachable || this->retained_entries == 0)
         return false;
-    auto const dropped = std::erase_if(this->entries, [&](auto const& entry) { return entry.second.kept_until && now >= *entry.second.kept_until; });
-    this->kept_entries -= dropped;
+    auto const dropped = std::erase_if(this->entries, [&](auto const& entry) { return entry.second.retained_until && now >= *entry.second.retained_until; });
+    this->retained_entries -= dropped;
     return dropped > 0;
 }
 
--- a/Libraries/LibDecision/UpstreamList.h
+++ b/Libraries/LibDecision/UpstreamList.h
@@ -76,7 +76,7 @@
         /// How long after the registry's return lapsed entries are kept.
         Duration lapse_grace = milliseconds(1800);
         /// Ends that are remembered for peers that ask what changed; one that asks for older ones gets the whole.
-        std::size_t remembered_ends = 1024;
+        std::size_t remembered_removals = 1024;
     };
 
     explicit UpstreamList(Options options)
@@ -85,8 +85,8 @@
     }
 
     enum class RegistryState {
-        Well,
-        Away,
+        Available,
+        Unreachable,
     };
     /// Tells whether the registry can be read just now.
     void note_registry(RegistryState state, MonotonicTime now);
@@ -123,26 +123,26 @@
         UpstreamRecord::Life announced_life = UpstreamRecord::Life::Serving;
         std::int64_t version = 0;
         /// Set while the entry lapsed and is kept.
-        std::optional<MonotonicTime> kept_until;
+        std::optional<MonotonicTime> retained_until;
     };
 
-    bool was_away_lately(MonotonicTime now) const;
-    void judge_life(Entry& entry) const;
+    bool was_recently_unreachable(MonotonicTime now) const;
+    void update_life(Entry& entry) const;
     bool is_older(UpstreamChange const& change) const;
-    void remember_end(std::string const& identity, std::int64_t version);
-    void end(std::string const& identity, MonotonicTime now);
+    void remember_removal(std::string const& identity, std::int64_t version);
+    void remove_or_retain(std::string const& identity, MonotonicTime now);
 
     Options options;
     std::map<std::string, Entry, std::less<>> entries;
     EvacuationTable evacuation_table;
     std::int64_t current_version = 0;
     /// The version with which each of them ended. Those before the next are not all known.
-    std::map<std::string, std::int64_t, std::less<>> ends;
-    std::int64_t ends_known_from = 0;
-    RegistryState registry = RegistryState::Well;
+    std::map<std::string, std::int64_t, std::less<>> removals;
+    std::int64_t removals_known_from = 0;
+    RegistryState registry = RegistryState::Available;
     std::optional<MonotonicTime> returned_at;
     /// Of the entries, those that lapsed and are kept: mostly none, and then there is nothing to look through.
-    std::size_t kept_entries = 0;
+    std::size_t retained_entries = 0;
 };
 
 }
--- a/Libraries/LibRouter/RegistryFollower.cpp
+++ b/Libraries/LibRouter/RegistryFollower.cpp
@@ -131,7 +131,7 @@
             if (has_failed)
                 error = news.error();
             else {
-                this->hooks.on_upstreams_state(UpstreamList::RegistryState::Well);
+                this->hooks.on_upstreams_state(UpstreamList::RegistryState::Available);
                 position = news.value().position;
                 has_news = !news.value().changes.empty();
                 if (has_news)
@@ -143,7 +143,7 @@
             if (has_failed)
                 error = snapshot.error();
             else {
-                this->hooks.on_upstreams_state(UpstreamList::RegistryState::Well);
+                this->hooks.on_upstreams_state(UpstreamList::RegistryState::Available);
                 position = snapshot.value().position;
                 this->upstreams_read = true;
                 this->hooks.on_upstreams(snapshot.value());
@@ -164,7 +164,7 @@
             continue;
         }
         log_failure("upstreams", error, ++failures);
-        this->hooks.on_upstreams_state(UpstreamList::RegistryState::Away);
+        this->hooks.on_upstreams_state(UpstreamList::RegistryState::Unreachable);
         co_await this->pause(failures);
     }
 }
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -106,7 +106,7 @@
 {
     auto const now = monotonic_now();
     this->plan.note_told(news.vm(), now);
-    this->upstreams.note_registry(UpstreamList::RegistryState::Well, now);
+    this->upstreams.note_registry(UpstreamList::RegistryState::Available, now);
     this->take_upstreams_news(news);
     this->hooks.on_evacuations(read_evacuations(news.evacuations()));
     auto const endpoint = this->kernel.directory().resolve_on(news.vm(), CONFIGURATION_SERVICE);
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -299,7 +299,7 @@
     };
     hooks.on_upstreams_state = [this](auto registry) {
         // One that the registry turns away and others tell of it knows as much as one that leaves watching to them.
-        if (registry == UpstreamList::RegistryState::Well || !this->relay->is_told())
+        if (registry == UpstreamList::RegistryState::Available || !this->relay->is_told())
             this->state.upstreams.note_registry(registry, monotonic_now());
     };
     hooks.on_call = [this](auto what, auto result) {
--- a/Tests/LibDecision/TestEvacuationTable.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -118,7 +118,7 @@
     }
     SECTION("An entry that lapses while the registry is away is kept as any other")
     {
-        list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(100));
+        list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(100));
         list.replace({}, 9, at_milliseconds(200));
         list.take(change("a", 10, State::Over));
         CHECK(list.takes_work("at-a"));
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -59,7 +59,7 @@
 TEST_CASE("A peer whose list is older than the ends that are remembered is told the whole", "[leaving]")
 {
     UpstreamList::Options options;
-    options.remembered_ends = 2;
+    options.remembered_removals = 2;
     UpstreamList list(options);
     list.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
     // What came and went before the list was read is not known.
@@ -129,7 +129,7 @@
     std::mt19937 random(seed);
     auto const below = [&](std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(random); };
     UpstreamList::Options options;
-    options.remembered_ends = 4;
+    options.remembered_removals = 4;
     UpstreamList truth(options);
     std::vector<UpstreamList> vms(4, UpstreamList(options));
     std::vector<UpstreamListing> on_the_way;
--- a/Tests/LibDecision/TestUpstreams.cpp
+++ b/Tests/LibDecision/TestUpstreams.cpp
@@ -53,8 +53,8 @@
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
     list.apply({ "b", record("b"), 1 }, at_milliseconds(0));
     list.apply({ "c", record("c", UpstreamRecord::Life::Leaving), 1 }, at_milliseconds(0));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(1000));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(6000));
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(1000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(6000));
     list.replace({}, 9, at_milliseconds(6000));
     REQUIRE(list.takes_work("a"));
     REQUIRE(list.listing_since(0).records.empty());
@@ -71,14 +71,14 @@
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(1000));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(2000));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(9000));
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(1000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(2000));
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(9000));
     // Told by a peer whose registry has just come back empty.
     list.replace({}, 5, at_milliseconds(9500));
     REQUIRE_FALSE(list.advance(at_milliseconds(20'000)));
     REQUIRE(list.takes_work("a"));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(21'000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(21'000));
     REQUIRE_FALSE(list.advance(at_milliseconds(22'700)));
     REQUIRE(list.advance(at_milliseconds(22'800)));
 }
