--- a/Libraries/LibDecision/WatchPlan.cpp
+++ b/Libraries/LibDecision/WatchPlan.cpp
@@ -27,68 +27,68 @@
 {
 }
 
-void WatchPlan::set_virtual_machines(std::vector<std::string> now_live)
+void WatchPlan::set_virtual_machines(std::vector<std::string> live)
 {
-    if (now_live == this->virtual_machines)
+    if (live == this->virtual_machines)
         return;
-    this->virtual_machines = std::move(now_live);
+    this->virtual_machines = std::move(live);
     this->order.clear();
-    this->told.clear();
-    this->preferred_watcher.clear();
-    this->own_part = Part::Watcher;
+    this->listener_names.clear();
+    this->assigned_watcher_name.clear();
+    this->own_role = Role::Watcher;
     this->own_rank = 0;
-    if (this->virtual_machines.size() < this->options.smallest_data_centre)
+    if (this->virtual_machines.size() < this->options.minimum_data_centre_size)
         return;
     this->order = choose_watchers(this->virtual_machines, this->virtual_machines.size());
     this->own_rank = static_cast<std::size_t>(std::find(this->order.begin(), this->order.end(), this->own_virtual_machine) - this->order.begin());
-    std::copy_if(this->order.begin(), this->order.end(), std::back_inserter(this->told), [&](auto const& name) { return name != this->own_virtual_machine; });
+    std::copy_if(this->order.begin(), this->order.end(), std::back_inserter(this->listener_names), [&](auto const& name) { return name != this->own_virtual_machine; });
     if (this->own_rank < this->options.watchers)
         return;
-    this->own_part = Part::Listener;
+    this->own_role = Role::Listener;
     auto const first_listener = this->order.begin() + static_cast<std::ptrdiff_t>(this->options.watchers);
-    this->preferred_watcher = *std::max_element(this->order.begin(), first_listener, [&](auto const& one, auto const& other) { return rendezvous_score(this->own_virtual_machine, one) < rendezvous_score(this->own_virtual_machine, other); });
+    this->assigned_watcher_name = *std::max_element(this->order.begin(), first_listener, [&](auto const& one, auto const& other) { return rendezvous_score(this->own_virtual_machine, one) < rendezvous_score(this->own_virtual_machine, other); });
 }
 
 // A VM behind this one stops to watch once it is told itself; did this one rely on it, both would stop.
-void WatchPlan::note_told(std::string_view teller, MonotonicTime now)
+void WatchPlan::note_update(std::string_view sender, MonotonicTime now)
 {
-    this->last_heard = now;
-    if (rendezvous_score(RENDEZVOUS, teller) <= rendezvous_score(RENDEZVOUS, this->own_virtual_machine))
+    this->last_update = now;
+    if (rendezvous_score(RENDEZVOUS, sender) <= rendezvous_score(RENDEZVOUS, this->own_virtual_machine))
         return;
-    bool const was_silent = !this->last_told || now - *this->last_told >= this->silence_borne();
+    bool const was_silent = !this->last_trusted_update || now - *this->last_trusted_update >= this->silence_limit();
     if (was_silent)
-        this->told_since = now;
-    this->last_told = now;
+        this->trusted_since = now;
+    this->last_trusted_update = now;
 }
 
-Duration WatchPlan::silence_borne() const
+Duration WatchPlan::silence_limit() const
 {
-    bool const is_first = this->own_rank < this->options.watchers + this->options.first_stand_ins;
-    return is_first || this->present_company == Company::None ? this->options.silence : this->options.longer_silence;
+    bool const is_first = this->own_rank < this->options.watchers + this->options.first_backups;
+    return is_first || this->peer_reachability == PeerReachability::None ? this->options.silence : this->options.late_backup_silence;
 }
 
 bool WatchPlan::watches(MonotonicTime now) const
 {
-    if (this->own_part == Part::Watcher || !this->last_told || now - *this->last_told >= this->silence_borne())
+    if (this->own_role == Role::Watcher || !this->last_trusted_update || now - *this->last_trusted_update >= this->silence_limit())
         return true;
-    return now - *this->told_since < this->options.settling;
+    return now - *this->trusted_since < this->options.settling_time;
 }
 
-bool WatchPlan::is_told(MonotonicTime now) const
+bool WatchPlan::has_recent_update(MonotonicTime now) const
 {
-    return this->last_heard && now - *this->last_heard < this->options.silence;
+    return this->last_update && now - *this->last_update < this->options.silence;
 }
 
-Duration WatchPlan::gathering(Duration news_time) const
+Duration WatchPlan::batching_delay(Duration news_time) const
 {
-    return from_seconds(to_seconds(news_time) * (this->own_rank == 0 ? this->options.first_gathering : this->options.other_gathering));
+    return from_seconds(to_seconds(news_time) * (this->own_rank == 0 ? this->options.first_batching_share : this->options.other_batching_share));
 }
 
-Duration WatchPlan::longest_pause(Duration usual) const
+Duration WatchPlan::maximum_retry_interval(Duration usual) const
 {
-    if (this->own_part == Part::Watcher || this->present_company == Company::None)
+    if (this->own_role == Role::Watcher || this->peer_reachability == PeerReachability::None)
         return usual;
-    auto const shared = from_seconds(static_cast<double>(this->order.size()) / this->options.stand_in_tries_per_second);
+    auto const shared = from_seconds(static_cast<double>(this->order.size()) / this->options.backup_attempts_per_second);
     return std::max(usual, shared);
 }
 
--- a/Libraries/LibDecision/WatchPlan.h
+++ b/Libraries/LibDecision/WatchPlan.h
@@ -28,27 +28,27 @@
         /// Watchers of a data centre: two may fail at once, and the third bridges the time until others take over.
         std::size_t watchers = 3;
         /// The next in the order: where a third of the VMs is refused, one in 27 groups of three is, and one in 700 of six.
-        std::size_t first_stand_ins = 6;
+        std::size_t first_backups = 6;
         /// Smaller data centres have no use for telling: all of their VMs watch.
-        std::size_t smallest_data_centre = 6;
+        std::size_t minimum_data_centre_size = 6;
         /// Watchers tell at least this often.
-        Duration tell_interval = milliseconds(400);
+        Duration update_interval = milliseconds(400);
         /// Two messages that did not come, from any watcher.
         Duration silence = milliseconds(900);
         /// For those behind the first stand-ins, which take up to half of it to hear of the registry and tell.
-        Duration longer_silence = milliseconds(1800);
+        Duration late_backup_silence = milliseconds(1800);
         /// Told regularly for so long, a VM stops to watch.
-        Duration settling = milliseconds(1500);
+        Duration settling_time = milliseconds(1500);
         /// Parts of the time within which news have to be in force, for which they are gathered after each: by the first
         /// of the order, and by those that are told by it. Where the first one's watch fell silent, the others' news
         /// still come in time. Of three watchers each change wakes, two ask a third as often while changes come in rows.
-        double first_gathering = 0.1;
-        double other_gathering = 0.25;
+        double first_batching_share = 0.1;
+        double other_batching_share = 0.25;
         /// Tries that the VMs of a data centre which are no watchers make together while the registry is away.
-        double stand_in_tries_per_second = 12;
+        double backup_attempts_per_second = 12;
     };
 
-    enum class Part {
+    enum class Role {
         Watcher,
         Listener,
     };
@@ -58,47 +58,47 @@
     /// Takes the live VMs of the data centre, this one among them.
     void set_virtual_machines(std::vector<std::string> virtual_machines);
     /// A VM told its news.
-    void note_told(std::string_view teller, MonotonicTime now);
-    enum class Company {
-        Others,
+    void note_update(std::string_view sender, MonotonicTime now);
+    enum class PeerReachability {
+        Some,
         /// None of the other VMs can be reached just now, so none tells.
         None,
     };
-    void set_company(Company company) { this->present_company = company; }
+    void set_peer_reachability(PeerReachability reachability) { this->peer_reachability = reachability; }
 
-    Part part() const { return this->own_part; }
+    Role role() const { return this->own_role; }
     /// Whether this VM watches the registry itself.
     bool watches(MonotonicTime now) const;
     /// Whether another VM told news lately, be it one that this VM does not rely on.
-    bool is_told(MonotonicTime now) const;
+    bool has_recent_update(MonotonicTime now) const;
     /// The VMs that this one tells when it watches and hears of the registry: all others, since any of them may be
     /// refused by the registry. None where all watch.
-    std::vector<std::string> const& listeners() const { return this->told; }
+    std::vector<std::string> const& listeners() const { return this->listener_names; }
     /// The watcher that this VM asks for what is long, so that each of them is asked by as many; empty where all watch.
-    std::string const& own_watcher() const { return this->preferred_watcher; }
+    std::string const& assigned_watcher() const { return this->assigned_watcher_name; }
     /// The longest pause between two tries while the registry is away.
-    Duration longest_pause(Duration usual) const;
+    Duration maximum_retry_interval(Duration usual) const;
     /// How long news are gathered after each, where they have to be in force within the given time.
-    Duration gathering(Duration news_time) const;
-    Duration tell_interval() const { return this->options.tell_interval; }
+    Duration batching_delay(Duration news_time) const;
+    Duration update_interval() const { return this->options.update_interval; }
 
 private:
-    Duration silence_borne() const;
+    Duration silence_limit() const;
 
     Options options;
     std::string own_virtual_machine;
-    Part own_part = Part::Watcher;
-    Company present_company = Company::Others;
+    Role own_role = Role::Watcher;
+    PeerReachability peer_reachability = PeerReachability::Some;
     std::vector<std::string> virtual_machines;
     /// The same in the order in which they watch.
     std::vector<std::string> order;
     std::size_t own_rank = 0;
-    std::vector<std::string> told;
-    std::string preferred_watcher;
-    std::optional<MonotonicTime> told_since;
+    std::vector<std::string> listener_names;
+    std::string assigned_watcher_name;
+    std::optional<MonotonicTime> trusted_since;
     /// By one that this VM relies on, and by any.
-    std::optional<MonotonicTime> last_told;
-    std::optional<MonotonicTime> last_heard;
+    std::optional<MonotonicTime> last_trusted_update;
+    std::optional<MonotonicTime> last_update;
 };
 
 }
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -53,13 +53,13 @@
 
 void RegistryRelay::start()
 {
-    this->kernel.every(this->plan.tell_interval(), [this] { this->every_interval(); });
+    this->kernel.every(this->plan.update_interval(), [this] { this->every_interval(); });
 }
 
 void RegistryRelay::every_interval()
 {
     this->plan.set_virtual_machines(this->kernel.directory().virtual_machines_with(this->news_service));
-    this->plan.set_company(this->hooks.company());
+    this->plan.set_peer_reachability(this->hooks.company());
     this->tell();
 }
 
@@ -70,7 +70,7 @@
 }
 
 bool RegistryRelay::watches() const { return this->plan.watches(monotonic_now()); }
-bool RegistryRelay::is_told() const { return this->plan.is_told(monotonic_now()); }
+bool RegistryRelay::is_told() const { return this->plan.has_recent_update(monotonic_now()); }
 
 void RegistryRelay::tell()
 {
@@ -105,7 +105,7 @@
 void RegistryRelay::take_news(wire::RegistryNews const& news)
 {
     auto const now = monotonic_now();
-    this->plan.note_told(news.vm(), now);
+    this->plan.note_update(news.vm(), now);
     this->upstreams.note_registry(UpstreamList::RegistryState::Available, now);
     this->take_upstreams_news(news);
     this->hooks.on_evacuations(read_evacuations(news.evacuations()));
@@ -113,7 +113,7 @@
     if (!endpoint)
         return;
     // From its own watcher a VM takes it at once; another one is asked where that one does not tell in time.
-    auto const source = news.vm() == this->plan.own_watcher() && !this->watches() ? PeerFetchPolicy::LocalSource::Unavailable : this->configuration_source();
+    auto const source = news.vm() == this->plan.assigned_watcher() && !this->watches() ? PeerFetchPolicy::LocalSource::Unavailable : this->configuration_source();
     if (this->configuration_news.should_fetch(news.configuration_version(), this->hooks.configuration_version(), source, now))
         this->fetch_configuration(*endpoint);
 }
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -31,7 +31,7 @@
         std::function<bool()> follows_configuration;
         std::function<bool()> follows_upstreams;
         /// Whether any other VM answered lately.
-        std::function<WatchPlan::Company()> company = [] { return WatchPlan::Company::Others; };
+        std::function<WatchPlan::PeerReachability()> company = [] { return WatchPlan::PeerReachability::Some; };
     };
 
     struct Options {
@@ -61,9 +61,9 @@
     /// Whether another VM that hears of the registry told of it lately.
     bool is_told() const;
     /// How long this VM gathers news, where they have to be in force within the given time.
-    Duration gathering(Duration news_time) const { return this->plan.gathering(news_time); }
+    Duration gathering(Duration news_time) const { return this->plan.batching_delay(news_time); }
     /// The longest pause between two tries of this VM while the registry is away.
-    Duration longest_pause(Duration usual) const { return this->plan.longest_pause(usual); }
+    Duration longest_pause(Duration usual) const { return this->plan.maximum_retry_interval(usual); }
     /// Tells the news, where it is this VM that watches for others.
     void tell();
 
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -321,7 +321,7 @@
     hooks.configuration_version = [this] { return this->configuration_version(); };
     hooks.follows_configuration = [this] { return this->state.routes && this->follower->follows_configuration(); };
     hooks.follows_upstreams = [this] { return this->follower->follows_upstreams(); };
-    hooks.company = [this] { return this->membership->has_company() ? WatchPlan::Company::Others : WatchPlan::Company::None; };
+    hooks.company = [this] { return this->membership->has_company() ? WatchPlan::PeerReachability::Some : WatchPlan::PeerReachability::None; };
     return hooks;
 }
 
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -214,7 +214,7 @@
     auto const all = names(5);
     for (auto const& name : all) {
         auto plan = plan_of(all, name);
-        plan.note_told(all[0], at_milliseconds(0));
+        plan.note_update(all[0], at_milliseconds(0));
         CHECK(plan.watches(at_milliseconds(5000)));
         CHECK(plan.listeners().empty());
     }
@@ -226,7 +226,7 @@
     std::vector<std::string> watchers;
     for (auto const& name : all) {
         auto const plan = plan_of(all, name);
-        if (plan.part() == WatchPlan::Part::Watcher)
+        if (plan.role() == WatchPlan::Role::Watcher)
             watchers.push_back(name);
     }
     CHECK(watchers.size() == 3);
@@ -257,38 +257,38 @@
     auto const row = GENERATE(values<Row>({ { "the first stand-in", 3, 900 }, { "one behind the first stand-ins", 9, 1800 } }));
     CAPTURE(row.name);
     auto plan = plan_of(all, order[row.rank]);
-    REQUIRE(plan.part() == WatchPlan::Part::Listener);
+    REQUIRE(plan.role() == WatchPlan::Role::Listener);
     CHECK(plan.watches(at_milliseconds(0)));
     for (int at = 100; at <= 2100; at += 400)
-        plan.note_told(order[0], at_milliseconds(at));
+        plan.note_update(order[0], at_milliseconds(at));
     CHECK(plan.watches(at_milliseconds(1500)));
     CHECK_FALSE(plan.watches(at_milliseconds(1700)));
     CHECK_FALSE(plan.watches(at_milliseconds(2100 + row.silence - 1)));
     CHECK(plan.watches(at_milliseconds(2100 + row.silence)));
     // A first message after the silence is no regular telling yet.
-    plan.note_told(order[1], at_milliseconds(4500));
+    plan.note_update(order[1], at_milliseconds(4500));
     CHECK(plan.watches(at_milliseconds(4600)));
     SECTION("one that becomes a watcher watches, whatever it is told")
     {
-        plan.note_told(order[0], at_milliseconds(4900));
+        plan.note_update(order[0], at_milliseconds(4900));
         plan.set_virtual_machines({ order[row.rank], order[0] });
         CHECK(plan.watches(at_milliseconds(5000)));
     }
     SECTION("what stands behind it is not listened to, or both would stop")
     {
         for (int at = 4900; at <= 8000; at += 400)
-            plan.note_told("vm-that-is-not-listed", at_milliseconds(at));
+            plan.note_update("vm-that-is-not-listed", at_milliseconds(at));
         auto const behind = choose_watchers(std::vector<std::string> { order[row.rank], "vm-that-is-not-listed" }, 2);
         CHECK(plan.watches(at_milliseconds(8000)) == (behind[0] == order[row.rank]));
     }
     SECTION("one that reaches nobody waits for nobody")
     {
-        plan.set_company(WatchPlan::Company::None);
+        plan.set_peer_reachability(WatchPlan::PeerReachability::None);
         for (int at = 4900; at <= 8100; at += 400)
-            plan.note_told(order[0], at_milliseconds(at));
+            plan.note_update(order[0], at_milliseconds(at));
         CHECK_FALSE(plan.watches(at_milliseconds(8100 + 899)));
         CHECK(plan.watches(at_milliseconds(8100 + 900)));
-        CHECK(plan.longest_pause(milliseconds(900)) == milliseconds(900));
+        CHECK(plan.maximum_retry_interval(milliseconds(900)) == milliseconds(900));
     }
 }
 
@@ -298,9 +298,9 @@
     std::map<std::string, int> asked;
     for (auto const& name : all) {
         auto const plan = plan_of(all, name);
-        CHECK(plan.own_watcher().empty() == (plan.part() == WatchPlan::Part::Watcher));
-        if (!plan.own_watcher().empty())
-            ++asked[plan.own_watcher()];
+        CHECK(plan.assigned_watcher().empty() == (plan.role() == WatchPlan::Role::Watcher));
+        if (!plan.assigned_watcher().empty())
+            ++asked[plan.assigned_watcher()];
     }
     REQUIRE(asked.size() == 3);
     // 57 over three: none has twice the share.
@@ -379,7 +379,7 @@
                 return;
             ++this->calls;
             auto const usual = std::min<std::int64_t>(900, 150 << std::min(++machine.failures, 4));
-            auto const shared = to_seconds(machine.plan.longest_pause(milliseconds(900))) / 0.9;
+            auto const shared = to_seconds(machine.plan.maximum_retry_interval(milliseconds(900))) / 0.9;
             machine.next_try = this->now + static_cast<std::int64_t>(static_cast<double>(usual) * shared * 0.75);
             return;
         }
@@ -390,7 +390,7 @@
         machine.failures = 0;
         machine.is_followed = true;
         if (machine.version != this->version)
-            machine.gathers_until = this->now + to_milliseconds(machine.plan.gathering(NEWS_TIME));
+            machine.gathers_until = this->now + to_milliseconds(machine.plan.batching_delay(NEWS_TIME));
         machine.version = this->version;
         machine.next_try = this->now + 4000;
         machine.next_tell = 0;
@@ -405,7 +405,7 @@
             for (auto& other : this->machines) {
                 if (other.name != listener)
                     continue;
-                other.plan.note_told(machine.name, at_milliseconds(this->now));
+                other.plan.note_update(machine.name, at_milliseconds(this->now));
                 other.version = std::max(other.version, machine.version);
             }
         }
@@ -465,7 +465,7 @@
     {
         for (std::size_t i = 0; i < registry.machines.size(); ++i) {
             auto& machine = registry.machines[i];
-            machine.is_turned_away = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.part() == WatchPlan::Part::Watcher);
+            machine.is_turned_away = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.role() == WatchPlan::Role::Watcher);
         }
         ++registry.version;
         registry.run(registry.now + 1500);
@@ -479,7 +479,7 @@
     }
     SECTION("a watcher that freezes while it is relied on")
     {
-        std::erase_if(registry.machines, [](auto const& machine) { return machine.plan.part() == WatchPlan::Part::Watcher && machine.data_centre == 1; });
+        std::erase_if(registry.machines, [](auto const& machine) { return machine.plan.role() == WatchPlan::Role::Watcher && machine.data_centre == 1; });
         ++registry.version;
         registry.run(registry.now + 1200);
         CHECK(registry.oldest() == registry.version);
--- a/Tests/LibRouter/TestRegistryRelay.cpp
+++ b/Tests/LibRouter/TestRegistryRelay.cpp
@@ -28,7 +28,7 @@
         hooks.follows_upstreams = [this] { return this->follows; };
         RegistryRelay::Options relay_options { "dc" };
         relay_options.plan.watchers = 1;
-        relay_options.plan.smallest_data_centre = 2;
+        relay_options.plan.minimum_data_centre_size = 2;
         this->relay = std::make_unique<RegistryRelay>(relay_options, *this->kernel, this->upstreams, std::move(hooks));
         this->relay->host();
         this->kernel->start();
