--- a/Libraries/LibDecision/ReachabilityTracker.cpp
+++ b/Libraries/LibDecision/ReachabilityTracker.cpp
@@ -14,20 +14,20 @@
 
 void ReachabilityTracker::note_sent(std::string_view identity, std::string_view data_centre, MonotonicTime now)
 {
-    auto& entry = this->known[std::string(identity)];
+    auto& entry = this->entries[std::string(identity)];
     entry.data_centre = data_centre;
     if (entry.in_flight++ == 0)
         entry.waiting_since = now;
 }
 
 // The count of each data centre goes with the marks of its upstreams.
-void ReachabilityTracker::set_mark(Known& entry, Mark mark)
+void ReachabilityTracker::set_reachability(Entry& entry, Reachability reachability)
 {
-    if (entry.mark == mark)
+    if (entry.reachability == reachability)
         return;
-    entry.mark = mark;
+    entry.reachability = reachability;
     auto& unreachable = this->data_centres[entry.data_centre].unreachable;
-    if (mark == Mark::Unreachable)
+    if (reachability == Reachability::Unreachable)
         ++unreachable;
     else
         --unreachable;
@@ -35,39 +35,39 @@
 
 void ReachabilityTracker::note_heard(std::string_view identity, MonotonicTime now)
 {
-    auto const found = this->known.find(identity);
-    if (found == this->known.end())
+    auto const found = this->entries.find(identity);
+    if (found == this->entries.end())
         return;
     found->second.waiting_since = now;
     this->note_reached(identity, found->second.data_centre, now);
 }
 
-void ReachabilityTracker::note_over(std::string_view identity)
+void ReachabilityTracker::note_finished(std::string_view identity)
 {
-    auto const found = this->known.find(identity);
-    if (found != this->known.end())
+    auto const found = this->entries.find(identity);
+    if (found != this->entries.end())
         found->second.in_flight = std::max<std::int64_t>(0, found->second.in_flight - 1);
 }
 
 void ReachabilityTracker::note_probe(std::string_view identity, MonotonicTime now)
 {
-    this->known[std::string(identity)].last_probe = now;
+    this->entries[std::string(identity)].last_probe = now;
 }
 
 void ReachabilityTracker::note_reached(std::string_view identity, std::string_view data_centre, MonotonicTime now)
 {
-    auto const found = this->known.find(identity);
-    if (found != this->known.end())
-        this->set_mark(found->second, Mark::Reachable);
+    auto const found = this->entries.find(identity);
+    if (found != this->entries.end())
+        this->set_reachability(found->second, Reachability::Reachable);
     this->data_centres[std::string(data_centre)].last_heard = now;
 }
 
 void ReachabilityTracker::note_unreachable(std::string_view identity, std::string_view data_centre, MonotonicTime now)
 {
-    auto& entry = this->known[std::string(identity)];
+    auto& entry = this->entries[std::string(identity)];
     entry.data_centre = data_centre;
     entry.last_probe = now;
-    this->set_mark(entry, Mark::Unreachable);
+    this->set_reachability(entry, Reachability::Unreachable);
 }
 
 bool ReachabilityTracker::is_cut_off(std::string_view data_centre, MonotonicTime now) const
@@ -75,8 +75,8 @@
     if (data_centre == this->own_data_centre)
         return false;
     auto const found = this->data_centres.find(data_centre);
-    bool const has_answered = found != this->data_centres.end() && found->second.last_heard && this->confined_since && *found->second.last_heard >= *this->confined_since;
-    if (this->confined_since && !has_answered)
+    bool const has_answered = found != this->data_centres.end() && found->second.last_heard && this->isolated_since && *found->second.last_heard >= *this->isolated_since;
+    if (this->isolated_since && !has_answered)
         return true;
     if (found == this->data_centres.end() || found->second.unreachable < this->options.data_centre_failures)
         return false;
@@ -84,72 +84,72 @@
     return !heard || now - *heard >= this->options.data_centre_silence;
 }
 
-void ReachabilityTracker::set_confinement(Confinement confinement, MonotonicTime now)
+void ReachabilityTracker::set_isolation(Isolation isolation, MonotonicTime now)
 {
-    if (confinement == Confinement::None)
-        this->confined_since.reset();
-    else if (!this->confined_since)
-        this->confined_since = now;
+    if (isolation == Isolation::None)
+        this->isolated_since.reset();
+    else if (!this->isolated_since)
+        this->isolated_since = now;
 }
 
 bool ReachabilityTracker::is_any_cut_off(MonotonicTime now) const
 {
-    if (this->confined_since)
+    if (this->isolated_since)
         return true;
     return std::any_of(this->data_centres.begin(), this->data_centres.end(), [&](auto const& entry) { return this->is_cut_off(entry.first, now); });
 }
 
 bool ReachabilityTracker::is_reachable(std::string_view identity, std::string_view data_centre, MonotonicTime now) const
 {
-    auto const found = this->known.find(identity);
-    if (found != this->known.end() && found->second.mark == Mark::Unreachable)
+    auto const found = this->entries.find(identity);
+    if (found != this->entries.end() && found->second.reachability == Reachability::Unreachable)
         return false;
     return !this->is_cut_off(data_centre, now);
 }
 
-bool ReachabilityTracker::needs_probe(Known const& entry, MonotonicTime now) const
+bool ReachabilityTracker::needs_probe(Entry const& entry, MonotonicTime now) const
 {
     bool const is_silent = entry.in_flight > 0 && now - entry.waiting_since >= this->options.silence;
-    return entry.mark == Mark::Unreachable || is_silent;
+    return entry.reachability == Reachability::Unreachable || is_silent;
 }
 
 std::vector<std::string> ReachabilityTracker::due_probes(MonotonicTime now) const
 {
     std::vector<std::string> due;
-    for (auto const& [identity, entry] : this->known) {
+    for (auto const& [identity, entry] : this->entries) {
         if (this->needs_probe(entry, now) && !this->was_probed(entry, now))
             due.push_back(identity);
     }
     return due;
 }
 
-std::vector<std::string> ReachabilityTracker::due_scouts(std::span<UpstreamPlace const> upstreams, MonotonicTime now)
+std::vector<std::string> ReachabilityTracker::due_partition_probes(std::span<UpstreamLocation const> upstreams, MonotonicTime now)
 {
-    std::map<std::string_view, std::vector<std::string_view>> untried;
+    std::map<std::string_view, std::vector<std::string_view>> candidates;
     for (auto const& upstream : upstreams) {
-        auto const found = this->known.find(upstream.identity);
-        bool const is_probed_anyhow = found != this->known.end() && (this->needs_probe(found->second, now) || this->was_probed(found->second, now));
-        if (!is_probed_anyhow && this->is_cut_off(upstream.data_centre, now))
-            untried[upstream.data_centre].push_back(upstream.identity);
+        auto const found = this->entries.find(upstream.identity);
+        bool const is_probed_already = found != this->entries.end() && (this->needs_probe(found->second, now) || this->was_probed(found->second, now));
+        if (!is_probed_already && this->is_cut_off(upstream.data_centre, now))
+            candidates[upstream.data_centre].push_back(upstream.identity);
     }
     std::vector<std::string> due;
-    for (auto const& [data_centre, identities] : untried) {
-        for (std::size_t i = 0; i < std::min(this->options.scouts, identities.size()); ++i)
-            due.emplace_back(identities[this->turn++ % identities.size()]);
+    for (auto const& [data_centre, identities] : candidates) {
+        for (std::size_t i = 0; i < std::min(this->options.partition_probes, identities.size()); ++i)
+            due.emplace_back(identities[this->probe_rotation++ % identities.size()]);
     }
     return due;
 }
 
 void ReachabilityTracker::retain(std::function<bool(std::string_view)> const& is_listed)
 {
-    for (auto position = this->known.begin(); position != this->known.end();) {
+    for (auto position = this->entries.begin(); position != this->entries.end();) {
         auto& [identity, entry] = *position;
         if (entry.in_flight > 0 || is_listed(identity)) {
             ++position;
             continue;
         }
-        this->set_mark(entry, Mark::Reachable);
-        position = this->known.erase(position);
+        this->set_reachability(entry, Reachability::Reachable);
+        position = this->entries.erase(position);
     }
 }
 
--- a/Libraries/LibDecision/ReachabilityTracker.h
+++ b/Libraries/LibDecision/ReachabilityTracker.h
@@ -17,7 +17,7 @@
 namespace Spurtide {
 
 /// An upstream and where it is.
-struct UpstreamPlace {
+struct UpstreamLocation {
     std::string identity;
     std::string data_centre;
 };
@@ -38,7 +38,7 @@
         /// Upstreams of a data centre that have to be out of reach before all of it counts as cut off.
         std::size_t data_centre_failures = 2;
         /// Upstreams of a cut data centre, beside the known ones, that are probed in each round.
-        std::size_t scouts = 1;
+        std::size_t partition_probes = 1;
     };
 
     ReachabilityTracker(Options options, std::string own_data_centre);
@@ -47,19 +47,19 @@
     /// Something came from the upstream, be it a part of an answer.
     void note_heard(std::string_view identity, MonotonicTime now);
     /// A request to it is over, however it ended.
-    void note_over(std::string_view identity);
+    void note_finished(std::string_view identity);
 
     void note_probe(std::string_view identity, MonotonicTime now);
     void note_reached(std::string_view identity, std::string_view data_centre, MonotonicTime now);
     void note_unreachable(std::string_view identity, std::string_view data_centre, MonotonicTime now);
 
-    enum class Confinement {
+    enum class Isolation {
         None,
         /// No VM of another data centre answers.
         OwnDataCentre,
     };
     /// What else is known of cuts. A data centre counts as cut off from then on, until something of it answers.
-    void set_confinement(Confinement confinement, MonotonicTime now);
+    void set_isolation(Isolation isolation, MonotonicTime now);
 
     bool is_reachable(std::string_view identity, std::string_view data_centre, MonotonicTime now) const;
     bool is_cut_off(std::string_view data_centre, MonotonicTime now) const;
@@ -67,23 +67,23 @@
     /// The upstreams that are to be probed now since they are silent or out of reach.
     std::vector<std::string> due_probes(MonotonicTime now) const;
     /// Of data centres that count as cut off, others that are to be probed: something has to tell when one is back.
-    std::vector<std::string> due_scouts(std::span<UpstreamPlace const> upstreams, MonotonicTime now);
+    std::vector<std::string> due_partition_probes(std::span<UpstreamLocation const> upstreams, MonotonicTime now);
     /// Forgets upstreams that are no more listed and have nothing in flight.
     void retain(std::function<bool(std::string_view)> const& is_listed);
 
 private:
-    enum class Mark {
+    enum class Reachability {
         Reachable,
         Unreachable,
     };
 
-    struct Known {
+    struct Entry {
         std::string data_centre;
         std::int64_t in_flight = 0;
         /// When it was last heard, or when the first request after that was sent.
         MonotonicTime waiting_since;
         MonotonicTime last_probe;
-        Mark mark = Mark::Reachable;
+        Reachability reachability = Reachability::Reachable;
     };
 
     struct DataCentre {
@@ -91,16 +91,16 @@
         std::size_t unreachable = 0;
     };
 
-    void set_mark(Known& entry, Mark mark);
-    bool needs_probe(Known const& entry, MonotonicTime now) const;
-    bool was_probed(Known const& entry, MonotonicTime now) const { return now - entry.last_probe < this->options.probe_interval; }
+    void set_reachability(Entry& entry, Reachability reachability);
+    bool needs_probe(Entry const& entry, MonotonicTime now) const;
+    bool was_probed(Entry const& entry, MonotonicTime now) const { return now - entry.last_probe < this->options.probe_interval; }
 
     Options options;
     std::string own_data_centre;
-    std::map<std::string, Known, std::less<>> known;
+    std::map<std::string, Entry, std::less<>> entries;
     std::map<std::string, DataCentre, std::less<>> data_centres;
-    std::optional<MonotonicTime> confined_since;
-    std::size_t turn = 0;
+    std::optional<MonotonicTime> isolated_since;
+    std::size_t probe_rotation = 0;
 };
 
 }
--- a/Libraries/LibRouter/ReachabilityProber.cpp
+++ b/Libraries/LibRouter/ReachabilityProber.cpp
@@ -24,9 +24,9 @@
         this->begin_probe(identity, now);
     if (!this->reachability->is_any_cut_off(now))
         return;
-    std::vector<UpstreamPlace> places;
+    std::vector<UpstreamLocation> places;
     this->upstreams.for_each([&](auto const& record) { places.push_back({ record.identity, record.data_centre }); });
-    for (auto const& identity : this->reachability->due_scouts(places, now))
+    for (auto const& identity : this->reachability->due_partition_probes(places, now))
         this->begin_probe(identity, now);
 }
 
--- a/Libraries/LibRouter/UpstreamUse.cpp
+++ b/Libraries/LibRouter/UpstreamUse.cpp
@@ -22,7 +22,7 @@
 {
     if (this->watch != this->watched->end())
         this->watched->erase(this->watch);
-    this->tracker->note_over(this->record.identity);
+    this->tracker->note_finished(this->record.identity);
 }
 
 void UpstreamUse::note_heard()
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -499,7 +499,7 @@
     if (is_cut_off != this->was_cut_off)
         LogLine(is_cut_off ? "data_centre_cut_off" : "data_centre_reached_others");
     this->was_cut_off = is_cut_off;
-    this->state.reachability->set_confinement(is_cut_off ? ReachabilityTracker::Confinement::OwnDataCentre : ReachabilityTracker::Confinement::None, now);
+    this->state.reachability->set_isolation(is_cut_off ? ReachabilityTracker::Isolation::OwnDataCentre : ReachabilityTracker::Isolation::None, now);
 }
 
 void Node::stop(std::function<void()> when_done)
--- a/Tests/LibDecision/TestReachabilityTracker.cpp
+++ b/Tests/LibDecision/TestReachabilityTracker.cpp
@@ -11,7 +11,7 @@
 
 MonotonicTime at(std::int64_t time) { return MonotonicTime(milliseconds(time)); }
 
-std::vector<UpstreamPlace> const s_upstreams { { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" }, { "b3", "b" } };
+std::vector<UpstreamLocation> const s_upstreams { { "a1", "a" }, { "a2", "a" }, { "b1", "b" }, { "b2", "b" }, { "b3", "b" } };
 
 bool contains(std::vector<std::string> const& list, std::string_view name) { return std::find(list.begin(), list.end(), name) != list.end(); }
 
@@ -37,7 +37,7 @@
     }
     SECTION("nothing waits")
     {
-        tracker.note_over("a1");
+        tracker.note_finished("a1");
         CHECK(tracker.due_probes(at(10'000)).empty());
     }
     CHECK(tracker.is_reachable("a1", "a", at(300)));
@@ -85,21 +85,21 @@
 
 TEST_CASE("While no VM of another data centre answers only upstreams of the own one are reachable, and what answers is", "[cut]")
 {
-    using Confinement = ReachabilityTracker::Confinement;
+    using Isolation = ReachabilityTracker::Isolation;
     ReachabilityTracker tracker({}, "a");
     tracker.note_reached("b1", "b", at(50));
-    tracker.set_confinement(Confinement::OwnDataCentre, at(100));
+    tracker.set_isolation(Isolation::OwnDataCentre, at(100));
     CHECK(tracker.is_reachable("a1", "a", at(100)));
     CHECK_FALSE(tracker.is_reachable("b1", "b", at(100)));
     CHECK_FALSE(tracker.is_reachable("c1", "c", at(100)));
     CHECK(tracker.is_any_cut_off(at(100)));
     // Each of the others has a scout, and one that answers tells for its data centre.
-    CHECK(tracker.due_scouts(s_upstreams, at(100)).size() >= 1);
+    CHECK(tracker.due_partition_probes(s_upstreams, at(100)).size() >= 1);
     tracker.note_reached("b1", "b", at(200));
-    tracker.set_confinement(Confinement::OwnDataCentre, at(250));
+    tracker.set_isolation(Isolation::OwnDataCentre, at(250));
     CHECK(tracker.is_reachable("b1", "b", at(300)));
     CHECK_FALSE(tracker.is_reachable("c1", "c", at(300)));
-    tracker.set_confinement(Confinement::None, at(400));
+    tracker.set_isolation(Isolation::None, at(400));
     CHECK(tracker.is_reachable("c1", "c", at(400)));
     CHECK_FALSE(tracker.is_any_cut_off(at(400)));
 }
@@ -118,5 +118,5 @@
     CHECK_FALSE(tracker.is_cut_off("b", at(2000)));
     tracker.note_unreachable("b3", "b", at(1000));
     CHECK(tracker.is_any_cut_off(at(2000)));
-    CHECK(tracker.due_scouts(s_upstreams, at(2000)) == std::vector<std::string> { "b1" });
+    CHECK(tracker.due_partition_probes(s_upstreams, at(2000)) == std::vector<std::string> { "b1" });
 }
