--- a/Libraries/LibDecision/Quarantine.cpp
+++ b/Libraries/LibDecision/Quarantine.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 /// More doublings are beyond the longest hold, and would not fit a number.
-constexpr std::int64_t MOST_DOUBLINGS = 10;
+constexpr std::int64_t MAXIMUM_DOUBLINGS = 10;
 /// Nothing is found out so often within the longest memory.
-constexpr std::int64_t MOST_TIMES = 1'000'000;
+constexpr std::int64_t MAXIMUM_TIMES = 1'000'000;
 
 }
 
@@ -28,39 +28,39 @@
 bool Quarantine::is_on_probation(RequestFingerprint const& request, std::int64_t unix_milliseconds) const
 {
     auto const found = this->held.find(request);
-    return found != this->held.end() && found->second.until <= unix_milliseconds && !this->is_outdated(found->second, unix_milliseconds);
+    return found != this->held.end() && found->second.until <= unix_milliseconds && !this->is_expired(found->second, unix_milliseconds);
 }
 
 QuarantineEntry Quarantine::add(RequestFingerprint const& request, std::int64_t unix_milliseconds)
 {
     auto const [entry, is_new] = this->held.try_emplace(request, QuarantineEntry { request, 0, 0 });
     auto& found = entry->second;
-    auto const doublings = std::min(found.times++, MOST_DOUBLINGS);
-    auto const hold = std::min(this->options.longest_hold, this->options.first_hold * (1 << doublings));
+    auto const doublings = std::min(found.times++, MAXIMUM_DOUBLINGS);
+    auto const hold = std::min(this->options.maximum_hold, this->options.first_hold * (1 << doublings));
     found.until = unix_milliseconds + to_milliseconds(hold);
     auto const added = found;
-    this->make_room();
+    this->evict_to_capacity();
     return added;
 }
 
-Quarantine::Merge Quarantine::merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds)
+Quarantine::MergeResult Quarantine::merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds)
 {
     // One that lasts longer than any hold is of a clock that is wrong, or of nobody who should write here.
-    bool const is_in_range = entry.times > 0 && entry.times <= MOST_TIMES && entry.until <= unix_milliseconds + 2 * to_milliseconds(this->options.longest_hold);
-    if (!is_in_range || this->is_outdated(entry, unix_milliseconds))
-        return Merge::Known;
+    bool const is_in_range = entry.times > 0 && entry.times <= MAXIMUM_TIMES && entry.until <= unix_milliseconds + 2 * to_milliseconds(this->options.maximum_hold);
+    if (!is_in_range || this->is_expired(entry, unix_milliseconds))
+        return MergeResult::Unchanged;
     auto const [place, is_new] = this->held.try_emplace(entry.request, entry);
     auto const before = place->second;
     place->second.times = std::max(before.times, entry.times);
     place->second.until = std::max(before.until, entry.until);
-    bool const is_news = is_new || place->second != before;
-    this->make_room();
-    return is_news ? Merge::News : Merge::Known;
+    bool const is_changed = is_new || place->second != before;
+    this->evict_to_capacity();
+    return is_changed ? MergeResult::Changed : MergeResult::Unchanged;
 }
 
 void Quarantine::forget_old(std::int64_t unix_milliseconds)
 {
-    std::erase_if(this->held, [&](auto const& entry) { return this->is_outdated(entry.second, unix_milliseconds); });
+    std::erase_if(this->held, [&](auto const& entry) { return this->is_expired(entry.second, unix_milliseconds); });
 }
 
 std::vector<QuarantineEntry> Quarantine::entries() const
@@ -82,16 +82,16 @@
     return digest;
 }
 
-bool Quarantine::is_outdated(QuarantineEntry const& entry, std::int64_t unix_milliseconds) const
+bool Quarantine::is_expired(QuarantineEntry const& entry, std::int64_t unix_milliseconds) const
 {
     return entry.until + to_milliseconds(this->options.probation) <= unix_milliseconds;
 }
 
-void Quarantine::make_room()
+void Quarantine::evict_to_capacity()
 {
-    while (this->held.size() > this->options.most) {
-        auto const is_over_first = [](auto const& left, auto const& right) { return left.second.until < right.second.until; };
-        this->held.erase(std::min_element(this->held.begin(), this->held.end(), is_over_first));
+    while (this->held.size() > this->options.capacity) {
+        auto const ends_first = [](auto const& left, auto const& right) { return left.second.until < right.second.until; };
+        this->held.erase(std::min_element(this->held.begin(), this->held.end(), ends_first));
     }
 }
 
--- a/Libraries/LibDecision/Quarantine.h
+++ b/Libraries/LibDecision/Quarantine.h
@@ -30,11 +30,11 @@
     struct Options {
         /// Three upstreams in an hour is what a request may cost that a repair of the upstreams made harmless or not.
         Duration first_hold = seconds(3600);
-        Duration longest_hold = seconds(86400);
+        Duration maximum_hold = seconds(86400);
         /// For so long after it one more crash is enough.
         Duration probation = seconds(86400);
         /// Some 100 bytes each; all go to a VM that lacks one. Those that are over first go first.
-        std::size_t most = 1024;
+        std::size_t capacity = 1024;
     };
 
     explicit Quarantine(Options options)
@@ -50,22 +50,22 @@
     /// Keeps the request out from now on; gives the entry for the others.
     QuarantineEntry add(RequestFingerprint const& request, std::int64_t unix_milliseconds);
 
-    enum class Merge {
-        Known,
-        News,
+    enum class MergeResult {
+        Unchanged,
+        Changed,
     };
     /// Takes another VM's entry, or the store's.
-    Merge merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds);
+    MergeResult merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds);
 
     void forget_old(std::int64_t unix_milliseconds);
     std::size_t size() const { return this->held.size(); }
     std::vector<QuarantineEntry> entries() const;
     /// The same wherever the same entries are; 0 for none.
     std::uint64_t digest() const;
-    bool is_outdated(QuarantineEntry const& entry, std::int64_t unix_milliseconds) const;
+    bool is_expired(QuarantineEntry const& entry, std::int64_t unix_milliseconds) const;
 
 private:
-    void make_room();
+    void evict_to_capacity();
 
     Options options;
     std::map<RequestFingerprint, QuarantineEntry> held;
--- a/Libraries/LibRouter/QuarantineKeeper.cpp
+++ b/Libraries/LibRouter/QuarantineKeeper.cpp
@@ -78,7 +78,7 @@
     }
     this->outdated.clear();
     for (auto const& entry : entries.value()) {
-        if (this->quarantine.is_outdated(entry, unix_milliseconds()))
+        if (this->quarantine.is_expired(entry, unix_milliseconds()))
             this->outdated.push_back(entry.request);
         else
             this->merge(entry, "store");
@@ -108,14 +108,14 @@
         asio::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         auto const now = unix_milliseconds();
-        std::erase_if(this->unwritten, [&](auto const& waiting) { return this->quarantine.is_outdated(waiting.second, now); });
+        std::erase_if(this->unwritten, [&](auto const& waiting) { return this->quarantine.is_expired(waiting.second, now); });
     }
     this->is_writing = false;
 }
 
 void QuarantineKeeper::merge(QuarantineEntry const& entry, std::string_view source)
 {
-    if (this->quarantine.merge(entry, unix_milliseconds()) == Quarantine::Merge::News)
+    if (this->quarantine.merge(entry, unix_milliseconds()) == Quarantine::MergeResult::Changed)
         LogLine("quarantine_heard").with("fingerprint", entry.request.to_hex()).with("times", entry.times).with("until", entry.until).with("source", source);
 }
 
--- a/Tests/LibDecision/TestQuarantine.cpp
+++ b/Tests/LibDecision/TestQuarantine.cpp
@@ -34,7 +34,7 @@
     CHECK(quarantine.held_for(request, NOW + HOUR) == seconds(2 * 3600));
     for (int i = 0; i < 100; ++i)
         quarantine.add(request, NOW + HOUR);
-    CHECK(quarantine.held_for(request, NOW + HOUR) == Quarantine::Options {}.longest_hold);
+    CHECK(quarantine.held_for(request, NOW + HOUR) == Quarantine::Options {}.maximum_hold);
     auto const much_later = NOW + 50 * HOUR;
     CHECK_FALSE(quarantine.is_on_probation(request, much_later));
     quarantine.forget_old(much_later);
@@ -50,7 +50,7 @@
         for (int i = 0; i < 30; ++i)
             entries.push_back({ request_number(static_cast<int>(random() % 5)), 1 + static_cast<std::int64_t>(random() % 3), NOW + static_cast<std::int64_t>(random() % HOUR) });
         Quarantine::Options options;
-        options.most = 3 + seed % 3;
+        options.capacity = 3 + seed % 3;
         Quarantine first { options };
         Quarantine second { options };
         for (auto const& entry : entries)
@@ -65,7 +65,7 @@
             second.merge(entry, NOW);
         CHECK(first.entries() == second.entries());
         CHECK(first.digest() == second.digest());
-        CHECK(first.entries().size() <= options.most);
+        CHECK(first.entries().size() <= options.capacity);
     }
 }
 
@@ -76,9 +76,9 @@
     auto const request = request_number(1);
     Quarantine quarantine { Quarantine::Options {} };
     for (auto const& entry : { QuarantineEntry { request, 0, NOW + HOUR }, QuarantineEntry { request, -1, NOW + HOUR }, QuarantineEntry { request, MOST, NOW + HOUR }, QuarantineEntry { request, 1, MOST }, QuarantineEntry { request, 1, LEAST }, QuarantineEntry { request, 1, NOW + 1000 * HOUR } }) {
-        CHECK(quarantine.merge(entry, NOW) == Quarantine::Merge::Known);
+        CHECK(quarantine.merge(entry, NOW) == Quarantine::MergeResult::Unchanged);
         CHECK_FALSE(quarantine.held_for(request, NOW));
     }
-    CHECK(quarantine.merge({ request, 1, NOW + HOUR }, NOW) == Quarantine::Merge::News);
-    CHECK(quarantine.merge({ request, 1, NOW + HOUR }, NOW) == Quarantine::Merge::Known);
+    CHECK(quarantine.merge({ request, 1, NOW + HOUR }, NOW) == Quarantine::MergeResult::Changed);
+    CHECK(quarantine.merge({ request, 1, NOW + HOUR }, NOW) == Quarantine::MergeResult::Unchanged);
 }
