--- a/Libraries/LibDecision/PauseDetector.cpp
+++ b/Libraries/LibDecision/PauseDetector.cpp
@@ -5,16 +5,16 @@
 
 namespace Spurtide {
 
-void PauseDetector::note_turn(MonotonicTime now)
+void PauseDetector::note_iteration(MonotonicTime now)
 {
-    if (this->last_turn && now - *this->last_turn >= this->options.longest_turn)
-        this->woke_at = now;
-    this->last_turn = now;
+    if (this->last_iteration && now - *this->last_iteration >= this->options.pause_threshold)
+        this->resumed_at = now;
+    this->last_iteration = now;
 }
 
 bool PauseDetector::is_catching_up(MonotonicTime now) const
 {
-    return this->woke_at && now - *this->woke_at < this->options.catching_up;
+    return this->resumed_at && now - *this->resumed_at < this->options.catch_up_time;
 }
 
 }
--- a/Libraries/LibDecision/PauseDetector.h
+++ b/Libraries/LibDecision/PauseDetector.h
@@ -14,9 +14,9 @@
 public:
     struct Options {
         /// A process whose slowest timer runs each 500 ms and that takes no turn for so long stood still.
-        Duration longest_turn = milliseconds(1000);
+        Duration pause_threshold = milliseconds(1000);
         /// How long it takes at most to read what came meanwhile.
-        Duration catching_up = milliseconds(100);
+        Duration catch_up_time = milliseconds(100);
     };
 
     explicit PauseDetector(Options options)
@@ -24,13 +24,13 @@
     {
     }
 
-    void note_turn(MonotonicTime now);
+    void note_iteration(MonotonicTime now);
     bool is_catching_up(MonotonicTime now) const;
 
 private:
     Options options;
-    std::optional<MonotonicTime> last_turn;
-    std::optional<MonotonicTime> woke_at;
+    std::optional<MonotonicTime> last_iteration;
+    std::optional<MonotonicTime> resumed_at;
 };
 
 }
--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/EngineKeeper.cpp
@@ -207,7 +207,7 @@
 MonotonicTime EngineKeeper::begin_turn()
 {
     auto const now = this->hooks.clock();
-    this->pauses.note_turn(now);
+    this->pauses.note_iteration(now);
     return now;
 }
 
--- a/Tests/LibDecision/TestPauseDetector.cpp
+++ b/Tests/LibDecision/TestPauseDetector.cpp
@@ -28,7 +28,7 @@
     }));
     PauseDetector detector({ milliseconds(500), milliseconds(100) });
     for (auto const turn : row.turns)
-        detector.note_turn(at_milliseconds(turn));
+        detector.note_iteration(at_milliseconds(turn));
     CAPTURE(row.name);
     CHECK(detector.is_catching_up(at_milliseconds(row.at)) == row.catches_up);
 }
