--- a/Libraries/LibDecision/RouteTable.cpp
+++ b/Libraries/LibDecision/RouteTable.cpp
@@ -11,23 +11,23 @@
 namespace {
 
 /// More at rest to one upstream serve no peak of a VM's own.
-constexpr std::int64_t MOST_RESTING_CONNECTIONS = 32;
+constexpr std::int64_t MAXIMUM_IDLE_CONNECTIONS = 32;
 /// Of the connections that an upstream takes.
-constexpr double RESTING_PART = 0.5;
+constexpr double IDLE_SHARE = 0.5;
 
 }
 
-std::size_t resting_connections_of_each(std::span<ServiceTraits const> services, VirtualMachineCount const& machines)
+std::size_t idle_connections_per_virtual_machine(std::span<ServiceTraits const> services, VirtualMachineCount const& machines)
 {
-    auto least = MOST_RESTING_CONNECTIONS;
+    auto idle_connections = MAXIMUM_IDLE_CONNECTIONS;
     for (auto const& service : services) {
-        auto const part = static_cast<double>(service.maximum_connections) * RESTING_PART * machines.share_of_each();
-        least = std::min(least, static_cast<std::int64_t>(part));
+        auto const share = static_cast<double>(service.maximum_connections) * IDLE_SHARE * machines.share_of_each();
+        idle_connections = std::min(idle_connections, static_cast<std::int64_t>(share));
     }
-    return static_cast<std::size_t>(std::max<std::int64_t>(1, least));
+    return static_cast<std::size_t>(std::max<std::int64_t>(1, idle_connections));
 }
 
-std::string normal_host(std::string_view host)
+std::string normalize_host(std::string_view host)
 {
     auto const colon = host.rfind(':');
     // NOTE: An IPv6 address in brackets may hold colons and no port.
@@ -38,13 +38,13 @@
     return text;
 }
 
-std::string const& Route::target_for(std::uint64_t spread) const
+std::string const& Route::target_for(std::uint64_t hash) const
 {
     VERIFY(!this->targets.empty());
     auto const total = std::accumulate(this->targets.begin(), this->targets.end(), std::int64_t { 0 }, [](auto sum, auto const& target) { return sum + target.weight; });
     if (total <= 0)
         return this->targets.front().service;
-    auto left = static_cast<std::int64_t>(spread % static_cast<std::uint64_t>(total));
+    auto left = static_cast<std::int64_t>(hash % static_cast<std::uint64_t>(total));
     for (auto const& target : this->targets) {
         left -= target.weight;
         if (left < 0)
@@ -57,7 +57,7 @@
     : current(std::move(configuration))
 {
     for (std::size_t i = 0; i < this->current.routes.size(); ++i)
-        this->by_host[normal_host(this->current.routes[i].host)].push_back(i);
+        this->by_host[normalize_host(this->current.routes[i].host)].push_back(i);
     for (auto& [host, indexes] : this->by_host) {
         std::sort(indexes.begin(), indexes.end(), [&](auto a, auto b) { return this->current.routes[a].path_prefix.size() > this->current.routes[b].path_prefix.size(); });
     }
@@ -65,7 +65,7 @@
 
 Route const* RouteTable::find(std::string_view host, std::string_view target) const
 {
-    auto const found = this->by_host.find(normal_host(host));
+    auto const found = this->by_host.find(normalize_host(host));
     if (found == this->by_host.end())
         return nullptr;
     auto const path = target.substr(0, target.find('?'));
--- a/Libraries/LibDecision/RouteTable.h
+++ b/Libraries/LibDecision/RouteTable.h
@@ -59,7 +59,7 @@
     std::vector<RouteTarget> targets;
 
     /// Picks a target by a number that is spread evenly, such as a hash of the request's name.
-    std::string const& target_for(std::uint64_t spread) const;
+    std::string const& target_for(std::uint64_t hash) const;
 };
 
 /// What the engines of a service have in common.
@@ -95,7 +95,7 @@
 /// The configuration that the data path works by. A higher version replaces a lower one.
 /// How many connections each VM may keep at rest to an upstream of any of the services: all VMs together half of what it takes,
 /// or one each where that is more. The rest is for connections that carry requests.
-std::size_t resting_connections_of_each(std::span<ServiceTraits const> services, VirtualMachineCount const& machines);
+std::size_t idle_connections_per_virtual_machine(std::span<ServiceTraits const> services, VirtualMachineCount const& machines);
 
 struct RoutingConfiguration {
     std::int64_t version = 0;
@@ -123,6 +123,6 @@
 };
 
 /// A host without its port, in lower case.
-std::string normal_host(std::string_view host);
+std::string normalize_host(std::string_view host);
 
 }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -474,7 +474,7 @@
 {
     auto const now = monotonic_now();
     if (this->state.routes)
-        this->state.pool.set_resting_limit(resting_connections_of_each(this->state.routes->configuration().services, this->membership->count()));
+        this->state.pool.set_resting_limit(idle_connections_per_virtual_machine(this->state.routes->configuration().services, this->membership->count()));
     this->state.pool.sweep(now);
 }
 
--- a/Tests/LibDecision/TestRouteTable.cpp
+++ b/Tests/LibDecision/TestRouteTable.cpp
@@ -55,9 +55,9 @@
 
 TEST_CASE("Hosts are compared without port and case")
 {
-    REQUIRE(normal_host("Shop.Example:80") == "shop.example");
-    REQUIRE(normal_host("[::1]:80") == "[::1]");
-    REQUIRE(normal_host("[::1]") == "[::1]");
+    REQUIRE(normalize_host("Shop.Example:80") == "shop.example");
+    REQUIRE(normalize_host("[::1]:80") == "[::1]");
+    REQUIRE(normalize_host("[::1]") == "[::1]");
 }
 
 TEST_CASE("What upstreams take of connections is shared among all VMs, the missing ones too", "[connections]")
@@ -65,10 +65,10 @@
     std::vector<ServiceTraits> services(2);
     services[0].maximum_connections = 360;
     services[1].maximum_connections = 100;
-    CHECK(resting_connections_of_each(services, { 7, 0 }) == 7);
-    CHECK(resting_connections_of_each(services, { 4, 3 }) == 7);
-    CHECK(resting_connections_of_each(services, { 1, 0 }) == 32);
+    CHECK(idle_connections_per_virtual_machine(services, { 7, 0 }) == 7);
+    CHECK(idle_connections_per_virtual_machine(services, { 4, 3 }) == 7);
+    CHECK(idle_connections_per_virtual_machine(services, { 1, 0 }) == 32);
     services[1].maximum_connections = 1800;
-    CHECK(resting_connections_of_each(services, { 986, 0 }) == 1);
-    CHECK(resting_connections_of_each({}, { 7, 0 }) == 32);
+    CHECK(idle_connections_per_virtual_machine(services, { 986, 0 }) == 1);
+    CHECK(idle_connections_per_virtual_machine({}, { 7, 0 }) == 32);
 }
