--- a/Libraries/LibDecision/UpstreamSelector.cpp
+++ b/Libraries/LibDecision/UpstreamSelector.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr int MOST_DOUBLINGS = 6;
+constexpr int MAXIMUM_DOUBLINGS = 6;
 /// Before the first answer: in the order of a short service call.
 constexpr double FIRST_MEAN_SECONDS = 0.05;
 
@@ -18,31 +18,31 @@
 {
     auto const mean = known.mean_seconds > 0 ? known.mean_seconds : FIRST_MEAN_SECONDS;
     auto const queued = static_cast<double>(known.in_flight) / static_cast<double>(std::max<std::int64_t>(1, upstream.slots));
-    auto const distance = upstream.place == SelectableUpstream::Place::SameDataCentre ? 0.0 : to_seconds(this->options.distance);
-    return mean * (1 + queued) + distance;
+    auto const remote_penalty = upstream.place == SelectableUpstream::Place::SameDataCentre ? 0.0 : to_seconds(this->options.remote_penalty);
+    return mean * (1 + queued) + remote_penalty;
 }
 
 std::optional<std::size_t> UpstreamSelector::choose(std::span<SelectableUpstream const> upstreams, MonotonicTime now)
 {
     if (upstreams.empty())
         return {};
-    std::size_t left_out = 0;
+    std::size_t ejected = 0;
     for (auto const& upstream : upstreams)
-        left_out += this->is_left_out(upstream.identity, now) ? 1 : 0;
-    bool const may_leave_out = left_out * 2 <= upstreams.size();
-    auto const grade = [&](std::size_t index) {
+        ejected += this->is_ejected(upstream.identity, now) ? 1 : 0;
+    bool const may_eject = ejected * 2 <= upstreams.size();
+    auto const rank = [&](std::size_t index) {
         auto const found = this->known.find(upstreams[index].identity);
         auto const& state = found == this->known.end() ? Known {} : found->second;
-        bool const is_out = may_leave_out && (now < state.left_out_until || (state.needs_trial && state.in_flight > 0));
+        bool const is_excluded = may_eject && (now < state.ejected_until || (state.needs_trial && state.in_flight > 0));
         bool const is_full = now < state.full_until;
-        return std::make_pair((is_out ? 2 : 0) + (is_full ? 1 : 0), this->expected_seconds(upstreams[index], state));
+        return std::make_pair((is_excluded ? 2 : 0) + (is_full ? 1 : 0), this->expected_seconds(upstreams[index], state));
     };
     // Equals take turns, so that VMs that know nothing yet do not all begin with the same one.
     std::size_t const first = static_cast<std::size_t>(this->turn++) % upstreams.size();
     std::size_t best = first;
     for (std::size_t step = 1; step < upstreams.size(); ++step) {
         std::size_t const index = (first + step) % upstreams.size();
-        if (grade(index) < grade(best))
+        if (rank(index) < rank(best))
             best = index;
     }
     return best;
@@ -61,22 +61,22 @@
     auto& state = found->second;
     state.in_flight = std::max<std::int64_t>(0, state.in_flight - 1);
     if (outcome == UpstreamOutcome::Full) {
-        state.full_until = now + this->options.full_pause;
+        state.full_until = now + this->options.full_backoff;
         return;
     }
-    if (outcome == UpstreamOutcome::Good) {
+    if (outcome == UpstreamOutcome::Succeeded) {
         auto const sample = to_seconds(took);
         state.mean_seconds = state.mean_seconds > 0 ? state.mean_seconds + this->options.smoothing * (sample - state.mean_seconds) : sample;
         state.failures_in_a_row = 0;
-        state.times_left_out = 0;
+        state.ejections = 0;
         state.needs_trial = false;
         return;
     }
     ++state.failures_in_a_row;
-    bool const was_trial = state.needs_trial && now >= state.left_out_until;
-    if (was_trial || state.failures_in_a_row >= this->options.failures_to_leave_out) {
-        auto const doublings = std::min(state.times_left_out++, MOST_DOUBLINGS);
-        state.left_out_until = now + std::min(this->options.longest_leave_out, this->options.first_leave_out * (1 << doublings));
+    bool const was_trial = state.needs_trial && now >= state.ejected_until;
+    if (was_trial || state.failures_in_a_row >= this->options.failures_before_ejection) {
+        auto const doublings = std::min(state.ejections++, MAXIMUM_DOUBLINGS);
+        state.ejected_until = now + std::min(this->options.maximum_ejection, this->options.first_ejection * (1 << doublings));
         state.failures_in_a_row = 0;
         state.needs_trial = true;
     }
@@ -95,10 +95,10 @@
     return found == this->known.end() ? 0 : found->second.in_flight;
 }
 
-bool UpstreamSelector::is_left_out(std::string_view identity, MonotonicTime now) const
+bool UpstreamSelector::is_ejected(std::string_view identity, MonotonicTime now) const
 {
     auto const found = this->known.find(identity);
-    return found != this->known.end() && now < found->second.left_out_until;
+    return found != this->known.end() && now < found->second.ejected_until;
 }
 
 }
--- a/Libraries/LibDecision/UpstreamSelector.h
+++ b/Libraries/LibDecision/UpstreamSelector.h
@@ -28,11 +28,11 @@
 
 /// How one send to an upstream turned out.
 enum class UpstreamOutcome {
-    Good,
+    Succeeded,
     /// It is full: healthy, but not to be filled further just now.
     Full,
     /// It did not answer, or not with a whole answer.
-    Bad,
+    Failed,
 };
 
 /// Chooses among the upstreams of plain services by what this VM sent and got back, and leaves out those that
@@ -41,15 +41,15 @@
 public:
     struct Options {
         /// Consecutive bad outcomes that leave an upstream out.
-        int failures_to_leave_out = 3;
-        Duration first_leave_out = milliseconds(1000);
-        Duration longest_leave_out = seconds(8);
+        int failures_before_ejection = 3;
+        Duration first_ejection = milliseconds(1000);
+        Duration maximum_ejection = seconds(8);
         /// A full upstream gets nothing for so long, while others have room.
-        Duration full_pause = milliseconds(150);
+        Duration full_backoff = milliseconds(150);
         /// Weight of a new sample in the mean time of an answer.
         double smoothing = 0.15;
         /// Cost of an upstream in another data centre, as time.
-        Duration distance = milliseconds(4);
+        Duration remote_penalty = milliseconds(4);
     };
 
     explicit UpstreamSelector(Options options)
@@ -66,14 +66,14 @@
     void retain(std::function<bool(std::string_view)> const& is_listed);
 
     std::int64_t in_flight(std::string_view identity) const;
-    bool is_left_out(std::string_view identity, MonotonicTime now) const;
+    bool is_ejected(std::string_view identity, MonotonicTime now) const;
 
 private:
     struct Known {
         std::int64_t in_flight = 0;
         int failures_in_a_row = 0;
-        int times_left_out = 0;
-        MonotonicTime left_out_until;
+        int ejections = 0;
+        MonotonicTime ejected_until;
         MonotonicTime full_until;
         double mean_seconds = 0;
         /// One request at a time tries an upstream that was left out.
--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/PlainFlow.cpp
@@ -30,11 +30,11 @@
     switch (end) {
     case SendEnd::Success:
     case SendEnd::OwnFailure:
-        return UpstreamOutcome::Good;
+        return UpstreamOutcome::Succeeded;
     case SendEnd::NotExecuted:
         return UpstreamOutcome::Full;
     default:
-        return UpstreamOutcome::Bad;
+        return UpstreamOutcome::Failed;
     }
 }
 
@@ -231,7 +231,7 @@
     if (acquired.is_error()) {
         attempt.reason = to_string(acquired.error());
         this->state.prober.note_unreachable(upstream, acquired.error());
-        this->state.selector.note_end(upstream.identity, UpstreamOutcome::Bad, Duration::zero(), monotonic_now());
+        this->state.selector.note_end(upstream.identity, UpstreamOutcome::Failed, Duration::zero(), monotonic_now());
         this->state.limiter->give_back(upstream.identity);
         co_return attempt;
     }
--- a/Tests/LibDecision/TestUpstreams.cpp
+++ b/Tests/LibDecision/TestUpstreams.cpp
@@ -112,22 +112,22 @@
     UpstreamSelector selector({ 3, milliseconds(1000), seconds(8) });
     auto const fail = [&](std::int64_t now) {
         selector.note_sent("a");
-        selector.note_end("a", UpstreamOutcome::Bad, Duration::zero(), at_milliseconds(now));
+        selector.note_end("a", UpstreamOutcome::Failed, Duration::zero(), at_milliseconds(now));
     };
     fail(0);
     fail(1);
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(2)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(2)));
     fail(2);
-    REQUIRE(selector.is_left_out("a", at_milliseconds(900)));
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(1100)));
+    REQUIRE(selector.is_ejected("a", at_milliseconds(900)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(1100)));
     // One bad trial leaves it out again, for twice as long.
     fail(1100);
-    REQUIRE(selector.is_left_out("a", at_milliseconds(3000)));
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(3200)));
+    REQUIRE(selector.is_ejected("a", at_milliseconds(3000)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3200)));
     selector.note_sent("a");
-    selector.note_end("a", UpstreamOutcome::Good, milliseconds(5), at_milliseconds(3300));
+    selector.note_end("a", UpstreamOutcome::Succeeded, milliseconds(5), at_milliseconds(3300));
     fail(3400);
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(3401)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3401)));
 }
 
 TEST_CASE("Most of a service is never left out")
@@ -136,7 +136,7 @@
     for (auto const* name : { "a", "b" }) {
         for (int i = 0; i < 3; ++i) {
             selector.note_sent(name);
-            selector.note_end(name, UpstreamOutcome::Bad, Duration::zero(), at_milliseconds(0));
+            selector.note_end(name, UpstreamOutcome::Failed, Duration::zero(), at_milliseconds(0));
         }
     }
     std::set<std::size_t> chosen;
