--- a/Libraries/LibDecision/StopPolicy.h
+++ b/Libraries/LibDecision/StopPolicy.h
@@ -10,17 +10,17 @@
 namespace Spurtide {
 
 /// How far a planned stop has come.
-struct StopTime {
+struct StopProgress {
     /// Until this process ends.
-    Duration left {};
+    Duration remaining {};
     /// From the stop's begin to the process's end.
-    Duration whole {};
+    Duration total {};
 };
 
 /// How long a request takes, as far as that is known before it begins.
 struct ExpectedTime {
     /// It is held no longer.
-    Duration longest {};
+    Duration maximum {};
     /// Nine in ten of its kind end within this; empty where none was seen.
     std::optional<Duration> probable {};
 };
@@ -30,13 +30,13 @@
 /// end in time: one that is cut is lost, one that is refused at once is served elsewhere. Where nothing is known of
 /// streams' lengths they are taken in the first third of the stop. Calls have to end within the time that they may
 /// be held.
-inline bool may_begin_before_stop(RouteKind kind, ExpectedTime expected, StopTime stop)
+inline bool may_begin_before_stop(RouteKind kind, ExpectedTime expected, StopProgress stop)
 {
     if (kind != RouteKind::Stream)
-        return stop.left >= expected.longest;
+        return stop.remaining >= expected.maximum;
     if (expected.probable)
-        return stop.left >= *expected.probable;
-    return stop.left * 3 >= stop.whole * 2;
+        return stop.remaining >= *expected.probable;
+    return stop.remaining * 3 >= stop.total * 2;
 }
 
 }
--- a/Libraries/LibRouter/Entry.cpp
+++ b/Libraries/LibRouter/Entry.cpp
@@ -66,7 +66,7 @@
 ExpectedTime Entry::expected_time(Route const& route, CallerRequest const& request) const
 {
     ExpectedTime expected;
-    expected.longest = std::min(route.timeout, request.patience);
+    expected.maximum = std::min(route.timeout, request.patience);
     if (!request.prompt || route.targets.empty())
         return expected;
     auto const& prompt = *request.prompt;
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -62,7 +62,7 @@
     std::function<double()> retry_allowance_part = [] { return 1.0; };
 
     /// Empty while this process goes on.
-    std::function<std::optional<StopTime>()> stop_time = [] { return std::optional<StopTime> {}; };
+    std::function<std::optional<StopProgress>()> stop_time = [] { return std::optional<StopProgress> {}; };
 
     SharedRetryBudget& budget_of(std::string const& service) { return this->budgets.try_emplace(service, this->retry_options).first->second; }
 };
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -136,11 +136,11 @@
     this->state.placement = this->placement.get();
     this->state.sending_machines = [this] { return this->membership->sending_machines(); };
     this->state.retry_allowance_part = [this] { return this->retry_allowance_part(); };
-    this->state.stop_time = [this]() -> std::optional<StopTime> {
+    this->state.stop_time = [this]() -> std::optional<StopProgress> {
         if (!this->is_stopping)
             return {};
         auto const whole = this->settings.stop_grace - STOP_MARGIN;
-        return StopTime { std::chrono::duration_cast<Duration>(this->stop_began + whole - monotonic_now()), whole };
+        return StopProgress { std::chrono::duration_cast<Duration>(this->stop_began + whole - monotonic_now()), whole };
     };
     this->host_services();
 
