--- a/Libraries/LibDecision/Residency.h
+++ b/Libraries/LibDecision/Residency.h
@@ -17,18 +17,18 @@
 class Residency {
 public:
     Residency() = default;
-    Residency(std::vector<std::string> of_route, std::vector<std::string> of_account)
-        : lists { std::move(of_route), std::move(of_account) }
+    Residency(std::vector<std::string> route_regions, std::vector<std::string> account_regions)
+        : region_lists { std::move(route_regions), std::move(account_regions) }
     {
     }
 
-    bool is_bound() const;
+    bool is_restricted() const;
     /// A data centre whose region is not known is no home of a bound request.
     bool allows(std::string_view data_centre, RegionMap const& regions) const;
 
 private:
     /// Each that is not empty binds.
-    std::vector<std::vector<std::string>> lists;
+    std::vector<std::vector<std::string>> region_lists;
 };
 
 }
--- a/Libraries/LibDecision/RetryBudget.h
+++ b/Libraries/LibDecision/RetryBudget.h
@@ -10,27 +10,27 @@
 /// Limits retries to a share of the first attempts, so that a failing pool is not flooded.
 class RetryBudget {
 public:
-    RetryBudget(double retries_per_request, double maximum)
-        : earned_per_request(retries_per_request)
-        , maximum(maximum)
-        , level(maximum)
+    RetryBudget(double retries_per_request, double capacity)
+        : tokens_per_request(retries_per_request)
+        , capacity(capacity)
+        , tokens(capacity)
     {
     }
 
-    void note_request() { this->level = std::min(this->maximum, this->level + this->earned_per_request); }
+    void note_request() { this->tokens = std::min(this->capacity, this->tokens + this->tokens_per_request); }
 
     bool try_spend()
     {
-        if (this->level < 1)
+        if (this->tokens < 1)
             return false;
-        this->level -= 1;
+        this->tokens -= 1;
         return true;
     }
 
 private:
-    double earned_per_request;
-    double maximum;
-    double level;
+    double tokens_per_request;
+    double capacity;
+    double tokens;
 };
 
 }
--- a/Libraries/LibDecision/UpstreamPacer.cpp
+++ b/Libraries/LibDecision/UpstreamPacer.cpp
@@ -27,14 +27,14 @@
     }
     if (ask.patience <= Duration::zero())
         return { Turn::Outcome::Denied, wait };
-    auto const at = std::max(turn, entry.last_return + interval);
+    auto const at = std::max(turn, entry.last_retry + interval);
     auto const retry_after = std::chrono::duration_cast<Duration>(at - now);
     if (retry_after <= ask.patience)
-        entry.last_return = at;
+        entry.last_retry = at;
     return { Turn::Outcome::Denied, retry_after };
 }
 
-void UpstreamPacer::give_back(std::string_view upstream, MonotonicTime now)
+void UpstreamPacer::return_turn(std::string_view upstream, MonotonicTime now)
 {
     auto const found = this->entries.find(upstream);
     if (found != this->entries.end())
--- a/Libraries/LibDecision/UpstreamPacer.h
+++ b/Libraries/LibDecision/UpstreamPacer.h
@@ -40,7 +40,7 @@
 
     Turn take(std::string_view upstream, Ask const& ask, MonotonicTime now);
     /// A granted request was not sent.
-    void give_back(std::string_view upstream, MonotonicTime now);
+    void return_turn(std::string_view upstream, MonotonicTime now);
     /// Forgets upstreams that have no limit any more.
     void retain(std::function<bool(std::string_view)> const& is_limited);
 
@@ -50,7 +50,7 @@
         /// When the next turn is free.
         MonotonicTime next;
         /// When the caller comes back who was told the latest time.
-        MonotonicTime last_return;
+        MonotonicTime last_retry;
     };
 
     std::map<std::string, Entry, std::less<>> entries;
--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/PlainFlow.cpp
@@ -145,7 +145,7 @@
         co_await this->fail(502, "no_upstream");
         co_return;
     }
-    std::string reason = this->residency.is_bound() ? "no_upstream_in_home_regions" : "no_upstream";
+    std::string reason = this->residency.is_restricted() ? "no_upstream_in_home_regions" : "no_upstream";
     auto retry_after = NO_UPSTREAM_RETRY_AFTER;
     if (this->next_cold_turn) {
         reason = "upstreams_cold";
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -204,7 +204,7 @@
 {
     bool const is_nowhere = refusal.reason == RefusalReason::NoUpstream;
     std::string reason(to_string(refusal.reason));
-    if (is_nowhere && this->residency.is_bound())
+    if (is_nowhere && this->residency.is_restricted())
         reason = "no_upstream_in_home_regions";
     if (is_nowhere && this->next_turn)
         reason = "upstreams_limited";
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -51,7 +51,7 @@
     return this->pacer.take(ask.upstream, { paced, ask.longest_wait, ask.patience }, monotonic_now());
 }
 
-void UpstreamLimitCounter::give_back(std::string_view upstream) { this->pacer.give_back(upstream, monotonic_now()); }
+void UpstreamLimitCounter::give_back(std::string_view upstream) { this->pacer.return_turn(upstream, monotonic_now()); }
 
 void UpstreamLimitCounter::forget_unlimited()
 {
--- a/Tests/LibDecision/TestUpstreamPacer.cpp
+++ b/Tests/LibDecision/TestUpstreamPacer.cpp
@@ -50,7 +50,7 @@
     CHECK(third.outcome == Outcome::Denied);
     CHECK(third.wait == milliseconds(750));
     // A turn that is not used is the next one's.
-    pacer.give_back(UPSTREAM, at(10));
+    pacer.return_turn(UPSTREAM, at(10));
     CHECK(pacer.take(UPSTREAM, { 4, milliseconds(600), {} }, at(10)).wait == milliseconds(490));
 }
 
