--- a/Libraries/LibDecision/EvacuationTable.h
+++ b/Libraries/LibDecision/EvacuationTable.h
@@ -12,10 +12,10 @@
 
 namespace Spurtide {
 
-/// An operator's order that a data centre's upstreams get nothing new, or its end.
+/// An operator's order to send no new work to the upstreams of a data centre, or the end of such an order.
 struct Evacuation {
     std::string data_centre;
-    /// The registry's version of the change; a later one holds.
+    /// The registry's version of the change; the highest version wins.
     std::int64_t version = 0;
     enum class State {
         Ordered,
@@ -26,7 +26,7 @@
     bool operator==(Evacuation const&) const = default;
 };
 
-/// What was heard of evacuations: what changed, or all that are ordered as of a position.
+/// An update of the evacuations: either a delta, or a snapshot of all that are ordered as of a position.
 struct EvacuationUpdate {
     enum class Extent {
         Snapshot,
@@ -34,19 +34,19 @@
     } extent
         = Extent::Delta;
     std::vector<Evacuation> evacuations;
-    /// Of the whole alone: the registry's version as of which it holds.
+    /// Set for snapshots only: the registry version that the snapshot reflects.
     std::int64_t position = 0;
 };
 
-/// Which data centres are evacuated. What VMs know of it can be merged in any order: the last change of each data centre
-/// holds, and an end is remembered like an order, so that late news of the order don't bring it back.
+/// The evacuated data centres. Updates can be merged in any order: the latest change per data centre wins, and ended
+/// evacuations are kept as tombstones so that a delayed update does not revive them.
 class EvacuationTable {
 public:
-    /// Gives the changes that were news.
+    /// Merges the update and returns the data centres whose state changed.
     std::vector<Evacuation> take(EvacuationUpdate const& news);
 
     bool is_evacuated(std::string_view data_centre) const;
-    /// Orders and ends, as they are told to others.
+    /// Returns orders and tombstones, as they are sent to peers.
     std::vector<Evacuation> all() const;
 
 private:
--- a/Libraries/LibDecision/MembershipTable.cpp
+++ b/Libraries/LibDecision/MembershipTable.cpp
@@ -19,7 +19,7 @@
     return { record.virtual_machine, record.incarnation, record.version, record.liveness, record.configuration_generation };
 }
 
-/// Of two words on the same version of a VM the graver one counts.
+/// Between two reports on the same version of a VM, the more severe one wins.
 int severity(MemberLiveness liveness)
 {
     switch (liveness) {
@@ -132,8 +132,8 @@
     return targets;
 }
 
-// A suspect is probed each period until it refutes or is dead: waiting for its turn or for the news to
-// come around takes longer than the suspicion lasts.
+// A suspect is probed in each period until it refutes the suspicion or is dead: waiting for its turn in the round, or
+// for the suspicion to spread by gossip, takes longer than the suspicion timeout.
 void MembershipTable::add_suspects(std::vector<std::string>& targets) const
 {
     std::size_t added = 0;
@@ -163,7 +163,7 @@
         if (member.remaining_transmissions > 0 && name != this->self_name && name != target)
             news.push_back(&member);
     }
-    // What was told least goes first.
+    // The updates transmitted least often go first.
     std::sort(news.begin(), news.end(), [](auto const* a, auto const* b) { return a->remaining_transmissions > b->remaining_transmissions; });
     news.resize(std::min(news.size(), this->options.updates_per_message));
     for (auto* member : news) {
@@ -173,7 +173,8 @@
     return digests;
 }
 
-// Somebody doubts this VM, or knows a newer record of it than itself: from a start with a clock ahead.
+// Called when a peer suspects this VM or has a newer record of it than the VM itself, which happens if an earlier start
+// had its clock ahead.
 void MembershipTable::refute(std::int64_t incarnation, std::int64_t version)
 {
     auto& self = this->members.at(this->self_name);
@@ -182,7 +183,7 @@
     this->note_change(self, self.since);
 }
 
-// True where the full record is needed.
+// Returns true if the full record has to be fetched.
 bool MembershipTable::take_digest(Member& member, MemberDigest const& digest, MonotonicTime now)
 {
     auto& record = member.record;
@@ -212,7 +213,7 @@
             continue;
         }
         if (found == this->members.end()) {
-            // A record that was forgotten as dead must not come back by an old word of it.
+            // An outdated digest must not revive a record that was forgotten as dead.
             if (digest.liveness != MemberLiveness::Dead)
                 wanted.push_back(digest.virtual_machine);
             continue;
@@ -301,7 +302,7 @@
     return Suspicion::New;
 }
 
-// A word of doubt on top of a VM's own word that it leaves says that it is gone.
+// A suspicion of a VM that announced its departure means that it is gone.
 void MembershipTable::set_liveness(Member& member, MemberLiveness liveness, MonotonicTime now)
 {
     member.has_left = member.has_left || member.record.liveness == MemberLiveness::Leaving;
--- a/Libraries/LibDecision/PartitionDetector.h
+++ b/Libraries/LibDecision/PartitionDetector.h
@@ -13,17 +13,19 @@
 
 namespace Spurtide {
 
-/// Whether this VM's data centre is cut off from all others, by probes of VMs elsewhere that stay without an answer
-/// while none of them is heard. Each request of a VM finds out by itself otherwise, and one VM sees few: of hundreds
-/// each asks the keepers of the other data centres in vain for as long as the cut lasts. Pure: time is passed in.
+/// Detects whether this VM's data centre is cut off from all others: probes of several VMs elsewhere fail while no
+/// message from any of them arrives. Without it each request would have to find out by timing out, and a VM sees few of
+/// them: with hundreds of VMs, each would query the engine keepers of the other data centres in vain for the whole
+/// partition. Time is passed in.
 class PartitionDetector {
 public:
     struct Options {
-        /// Tries without an answer since the last word from elsewhere. Two VMs that died, tried three times each, are
-        /// as many; so they have to be of several VMs too.
+        /// Failed probes since the last message from elsewhere. Two dead VMs, probed three times each, produce as many,
+        /// so the probes also have to cover several VMs.
         std::size_t minimum_failed_probes = 6;
         std::size_t minimum_virtual_machines = 3;
-        /// Silence of all of them. Some five messages come from elsewhere in this time where a third of the VMs is of the own data centre.
+        /// How long nothing may arrive from any of them. About five messages arrive from other data centres in this
+        /// time if a third of the VMs is in the own data centre.
         Duration silence = milliseconds(900);
     };
 
@@ -32,7 +34,7 @@
     {
     }
 
-    /// A VM of another data centre was heard.
+    /// Records a message from a VM of another data centre.
     void note_heard(MonotonicTime now)
     {
         this->last_heard = now;
@@ -40,7 +42,7 @@
         this->failed_virtual_machines.clear();
     }
 
-    /// A probe of a VM of another data centre got no answer. Takes how many VMs are known there.
+    /// Records an unanswered probe of a VM in another data centre. `known_elsewhere` is the number of VMs known there.
     void note_probe_failure(std::string_view virtual_machine, std::size_t known_elsewhere)
     {
         ++this->failed_probes;
@@ -48,7 +50,7 @@
         this->required_virtual_machines = std::min(this->options.minimum_virtual_machines, known_elsewhere);
     }
 
-    /// False before anything was heard: a VM that starts knows of no cut.
+    /// Returns false until the first message from elsewhere: a VM that has just started cannot detect a partition.
     bool is_cut_off(MonotonicTime now) const
     {
         if (!this->last_heard || now - *this->last_heard < this->options.silence)
--- a/Libraries/LibDecision/PauseDetector.h
+++ b/Libraries/LibDecision/PauseDetector.h
@@ -8,14 +8,14 @@
 
 namespace Spurtide {
 
-/// Tells whether a process stood still a moment ago. What it reads then was sent while it stood still, by senders
-/// that have mostly given up. Pure: time is passed in, at each turn of the process's loop.
+/// Detects whether the process was paused a moment ago. The messages it reads right after a pause are stale: most of
+/// their senders have already timed out. Time is passed in with each iteration of the event loop.
 class PauseDetector {
 public:
     struct Options {
-        /// A process whose slowest timer runs each 500 ms and that takes no turn for so long stood still.
+        /// A process whose slowest timer fires every 500 ms was paused if no iteration ran for this long.
         Duration pause_threshold = milliseconds(1000);
-        /// How long it takes at most to read what came meanwhile.
+        /// The longest time it takes to read the messages that queued up during the pause.
         Duration catch_up_time = milliseconds(100);
     };
 
--- a/Libraries/LibDecision/PeerFetchPolicy.h
+++ b/Libraries/LibDecision/PeerFetchPolicy.h
@@ -9,25 +9,26 @@
 
 namespace Spurtide {
 
-/// Decides when what a peer knows is fetched from it. News come from the registry to all VMs at nearly the same time;
-/// a peer that has them some milliseconds earlier is no reason to have them sent once more. Pure: time is passed in.
+/// Decides when to fetch newer state from a peer. The registry notifies all VMs at nearly the same time, so a peer that
+/// is a few milliseconds ahead is no reason to transfer the state a second time. Time is passed in.
 class PeerFetchPolicy {
 public:
     struct Options {
-        /// How long this VM's own source may take to bring what a peer has. A fraction of the time within which news
-        /// have to be in force (2 s on today's deployments), of which hearing of them takes half a second.
+        /// How long this VM's own source may take to deliver what a peer already has. This is a fraction of the
+        /// propagation deadline (2 s in current deployments), of which learning about the new version takes half a
+        /// second.
         Duration source_timeout = milliseconds(300);
-        /// How long the peers that watch for this VM may take: a round of their messages and an answer.
+        /// How long the watchers that relay to this VM may take: one round of their messages and a response.
         Duration watchers_timeout = milliseconds(600);
-        /// Between two fetches: a first one may still be under way.
+        /// Minimum interval between two fetches, as the first may still be in progress.
         Duration fetch_interval = milliseconds(250);
     };
 
     enum class LocalSource {
         Available,
-        /// Others watch for this VM; what one of them knows is asked of that one.
+        /// Other VMs watch the registry for this one; a version that a watcher has is fetched from that watcher.
         Watchers,
-        /// What a peer knows will not come by itself.
+        /// Newer state will not arrive unless it is fetched.
         Unavailable,
     };
 
@@ -36,7 +37,7 @@
     {
     }
 
-    /// A peer told its version. Whether what it knows is to be fetched from it now.
+    /// Returns whether to fetch from a peer that announced its version.
     bool should_fetch(std::int64_t peers_version, std::int64_t own_version, LocalSource source, MonotonicTime now);
 
 private:
--- a/Libraries/LibDecision/PoisonRequestDetector.cpp
+++ b/Libraries/LibDecision/PoisonRequestDetector.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A request that was at an upstream so many times as long as another before the crash did not come there together with it.
+/// A request that ran this many times as long on the crashed upstreams as another one did not arrive together with it.
 constexpr int RUN_TIME_RATIO = 2;
 
 }
@@ -18,7 +18,7 @@
     if (this->completed.contains(request, now))
         return;
     auto& crash = this->crashes.try_emplace(upstream, Crash { now, {} }).first->second;
-    // Several attempts of one request at one upstream are one; the last that came is nearest to the crash.
+    // Several attempts of a request on one upstream count once; the latest attempt is closest to the crash.
     auto const [place, is_first] = crash.requests.try_emplace(request, ran_for);
     if (!is_first)
         place->second = std::min(place->second, ran_for);
@@ -72,7 +72,7 @@
             evidence.ran_for += ran_for;
         }
     }
-    // Of two that were at as many crashes, it is the one that came to them last.
+    // Among requests with equally many crashes, the one that arrived most recently before them is the likeliest.
     auto const is_less = [](auto const& left, auto const& right) {
         return std::pair(left.second.crashes, -left.second.ran_for) < std::pair(right.second.crashes, -right.second.ran_for);
     };
--- a/Libraries/LibDecision/PoisonRequestDetector.h
+++ b/Libraries/LibDecision/PoisonRequestDetector.h
@@ -15,38 +15,44 @@
 
 namespace Spurtide {
 
-/// One incarnation of an upstream, which may start again under its name.
+/// One incarnation of an upstream. A restart under the same identity is a new incarnation.
 struct UpstreamIncarnation {
     std::string identity;
-    /// Its start in milliseconds since the epoch; 0 where it does not tell.
+    /// Start time in milliseconds since the epoch; 0 if the upstream does not report it.
     std::int64_t started = 0;
 
     auto operator<=>(UpstreamIncarnation const&) const = default;
 };
 
-/// Finds the requests that crash the upstreams that run them, out of which requests were at each upstream that crashed.
+/// Identifies requests that crash the upstreams which run them, from the sets of requests that were running on each
+/// crashed upstream.
 ///
-/// Whatever runs beside such a request goes on elsewhere and may meet it again there, so a count for each request alone
-/// would blame bystanders: in one incident a bystander was at three upstreams that crashed within ten seconds. Here the
-/// request that was at most of the crashes is the cause of all of these, and what is left for the others is counted
-/// without them. A request that was completed anywhere is no cause.
+/// Requests that run next to a poison request are retried elsewhere and may meet it again there, so a crash count per
+/// request would blame innocent ones: in one incident an innocent request was on three upstreams that crashed within
+/// ten seconds. The request present at the most crashes is therefore taken as the cause of all of them, and the
+/// remaining requests are counted without these crashes. A request that completed on any upstream is not a poison
+/// request.
 class PoisonRequestDetector {
 public:
     struct Options {
-        /// Crashes that make a request the cause: one may have any reason, and two in a row happen where machines fail in
-        /// series.
+        /// Crashes at which a request counts as poison. A single crash can have any cause, and two in a row occur when
+        /// machines fail in series.
         std::size_t crash_threshold = 3;
-        /// Where two requests were at the same crashes and came there at about the same time, this many more are waited for:
-        /// the next mostly tells them apart, and a bystander that is taken for the cause leaves the cause at large.
+        /// Additional crashes to wait for when two requests were present at the same crashes and arrived at about the
+        /// same time. The next crash usually separates them; blaming the wrong one would leave the poison request
+        /// running.
         std::size_t tie_break_crashes = 2;
-        /// From the first report of a crash until all VMs have told who was there; they see it within a few milliseconds.
+        /// Time from the first report of a crash until all VMs have reported their requests. They detect the crash
+        /// within a few milliseconds of each other.
         Duration report_delay = milliseconds(60);
-        /// A request that comes more seldom crashes one upstream in this time at most.
+        /// A request that recurs less often than this crashes at most one upstream per interval.
         Duration retention = seconds(3600);
-        /// Crashes that are kept; the oldest go first. Each has as many requests as an upstream has places.
+        /// Maximum number of crashes kept; the oldest are evicted first. Each holds at most as many requests as an
+        /// upstream has slots.
         std::size_t maximum_crashes = 256;
-        /// A completed request is no cause for so long: longer than an answer takes, so that what VMs still report of
-        /// earlier crashes does not count, and short beside the time between two changes of the upstreams' software.
+        /// How long a completed request stays exonerated: longer than a response takes, so that delayed reports of
+        /// earlier crashes do not count, and short compared to the interval between two software updates of the
+        /// upstreams.
         RecentRequests::Options completed { seconds(60), 8192 };
     };
 
@@ -56,20 +62,21 @@
     {
     }
 
-    /// The upstream crashed while it had the request, so long after it was sent there.
+    /// Records that the upstream crashed while running the request, which had been sent there `ran_for` earlier.
     void note_crash(RequestFingerprint const& request, UpstreamIncarnation const& upstream, Duration ran_for, MonotonicTime now);
     void note_completed(RequestFingerprint const& request, MonotonicTime now);
 
-    /// Whether it was at enough crashes to be a cause, unless another request explains them.
+    /// Whether the request was present at enough crashes to be poison, unless another request explains them.
     bool is_suspect(RequestFingerprint const& request) const;
-    /// Whether all VMs have told of the crashes at which the request was.
+    /// Whether all VMs have reported the crashes at which the request was present.
     bool is_settled(RequestFingerprint const& request, MonotonicTime now) const;
 
     struct PoisonRequest {
         RequestFingerprint request;
         std::size_t crashes = 0;
     };
-    /// The causes that are found now, without those that the function says are known: these explain their crashes.
+    /// Returns the poison requests identified so far, except for those that `is_known` accepts. Known ones still
+    /// explain their crashes.
     std::vector<PoisonRequest> find_poison_requests(std::function<bool(RequestFingerprint const&)> const& is_known, MonotonicTime now) const;
 
     std::size_t size() const { return this->crashes.size(); }
@@ -77,7 +84,7 @@
 private:
     struct Crash {
         MonotonicTime first_report;
-        /// Which requests were there, and for how long.
+        /// The requests that were running, and for how long.
         std::map<RequestFingerprint, Duration> requests;
     };
 
@@ -86,7 +93,7 @@
         Duration ran_for {};
     };
 
-    /// Empty where none was at enough of the crashes, or two were alike.
+    /// Returns nothing if no request was present at enough of the crashes, or if two candidates cannot be told apart.
     std::optional<PoisonRequest> most_likely(std::span<Crash const* const> unexplained) const;
     bool has_settled(Crash const& crash, MonotonicTime now) const { return now - crash.first_report >= this->options.report_delay; }
     void forget_old(MonotonicTime now);
--- a/Libraries/LibDecision/Quarantine.cpp
+++ b/Libraries/LibDecision/Quarantine.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// More doublings are beyond the longest hold, and would not fit a number.
+/// Further doublings exceed the maximum hold and would overflow.
 constexpr std::int64_t MAXIMUM_DOUBLINGS = 10;
-/// Nothing is found out so often within the longest memory.
+/// Upper bound for plausible entries; no request is identified this often within the retention time.
 constexpr std::int64_t MAXIMUM_TIMES = 1'000'000;
 
 }
@@ -45,7 +45,7 @@
 
 Quarantine::MergeResult Quarantine::merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds)
 {
-    // One that lasts longer than any hold is of a clock that is wrong, or of nobody who should write here.
+    // An entry that lasts longer than any hold comes from a VM with a wrong clock or from an unauthorized writer.
     bool const is_in_range = entry.times > 0 && entry.times <= MAXIMUM_TIMES && entry.until <= unix_milliseconds + 2 * to_milliseconds(this->options.maximum_hold);
     if (!is_in_range || this->is_expired(entry, unix_milliseconds))
         return MergeResult::Unchanged;
--- a/Libraries/LibDecision/Quarantine.h
+++ b/Libraries/LibDecision/Quarantine.h
@@ -12,28 +12,30 @@
 
 namespace Spurtide {
 
-/// A request that is kept from upstreams since it crashed some.
+/// A request that is not sent to upstreams because it crashed some of them.
 struct QuarantineEntry {
     RequestFingerprint request;
-    /// How often it was found to crash upstreams; each time it is kept out for longer.
+    /// How often the request was found to crash upstreams; each time doubles the hold.
     std::int64_t times = 1;
-    /// Milliseconds since the epoch at which it may be tried again.
+    /// End of the hold in milliseconds since the epoch.
     std::int64_t until = 0;
 
     bool operator==(QuarantineEntry const&) const = default;
 };
 
-/// The requests that are kept from all upstreams. Every VM has the same after a moment, since of two entries for a
-/// request all keep the larger numbers. Times are of the wall clock, as VMs compare them with each other's.
+/// The requests that are withheld from all upstreams. Merging keeps the larger numbers of two entries for a request, so
+/// that all VMs converge. Times are wall clock times, as VMs exchange them.
 class Quarantine {
 public:
     struct Options {
-        /// Three upstreams in an hour is what a request may cost that a repair of the upstreams made harmless or not.
+        /// After the hold the request is tried again, in case the upstreams were fixed meanwhile. Three upstreams an hour
+        /// are an acceptable cost if they were not.
         Duration first_hold = seconds(3600);
         Duration maximum_hold = seconds(86400);
-        /// For so long after it one more crash is enough.
+        /// Time after a hold during which a single further crash is sufficient.
         Duration probation = seconds(86400);
-        /// Some 100 bytes each; all go to a VM that lacks one. Those that are over first go first.
+        /// About 100 bytes per entry. All entries are sent to a VM that is missing one. The entries that end first are
+        /// evicted first.
         std::size_t capacity = 1024;
     };
 
@@ -42,25 +44,25 @@
     {
     }
 
-    /// How long the request is still kept out; empty where it may be sent.
+    /// Returns the remaining hold, or nothing if the request may be sent.
     std::optional<Duration> held_for(RequestFingerprint const& request, std::int64_t unix_milliseconds) const;
-    /// Whether it was kept out lately, so that one crash is enough to be so again.
+    /// Whether the request was held recently, so that a single crash is sufficient to hold it again.
     bool is_on_probation(RequestFingerprint const& request, std::int64_t unix_milliseconds) const;
 
-    /// Keeps the request out from now on; gives the entry for the others.
+    /// Holds the request from now on. Returns the entry to replicate to the other VMs.
     QuarantineEntry add(RequestFingerprint const& request, std::int64_t unix_milliseconds);
 
     enum class MergeResult {
         Unchanged,
         Changed,
     };
-    /// Takes another VM's entry, or the store's.
+    /// Merges an entry from another VM or from the store.
     MergeResult merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds);
 
     void forget_old(std::int64_t unix_milliseconds);
     std::size_t size() const { return this->held.size(); }
     std::vector<QuarantineEntry> entries() const;
-    /// The same wherever the same entries are; 0 for none.
+    /// Equal for equal sets of entries; 0 if there are none.
     std::uint64_t digest() const;
     bool is_expired(QuarantineEntry const& entry, std::int64_t unix_milliseconds) const;
 
--- a/Libraries/LibDecision/ReachabilityTracker.cpp
+++ b/Libraries/LibDecision/ReachabilityTracker.cpp
@@ -20,7 +20,7 @@
         entry.waiting_since = now;
 }
 
-// The count of each data centre goes with the marks of its upstreams.
+// Keeps the unreachable count of the data centre in step with the upstream's state.
 void ReachabilityTracker::set_reachability(Entry& entry, Reachability reachability)
 {
     if (entry.reachability == reachability)
--- a/Libraries/LibDecision/ReachabilityTracker.h
+++ b/Libraries/LibDecision/ReachabilityTracker.h
@@ -16,37 +16,39 @@
 
 namespace Spurtide {
 
-/// An upstream and where it is.
+/// The identity and the data centre of an upstream.
 struct UpstreamLocation {
     std::string identity;
     std::string data_centre;
 };
 
-/// What one VM knows of which upstreams it can reach. An upstream that leaves requests without any answer for a
-/// while is probed by a connection; one to which no connection can be made gets no requests, and is probed until
-/// one can. Where several of another data centre cannot be reached and none of it answers, all of it counts as
-/// cut off. Pure: time is passed in, and probes are made by whoever asks for them.
+/// Tracks which upstreams this VM can reach. An upstream that does not respond to requests for a while is probed by a
+/// connection. If the connection fails, it receives no requests and is probed until a connection succeeds. A data
+/// centre counts as cut off if several of its upstreams are unreachable and none responds. Time is passed in, and the
+/// caller performs the probes.
 class ReachabilityTracker {
 public:
     struct Options {
-        /// Silence, while requests wait, after which an upstream is probed. Longer than most answers take.
+        /// How long an upstream may be silent with requests in flight before it is probed. Longer than most responses
+        /// take.
         Duration silence = milliseconds(300);
-        /// Time between two probes of one upstream.
+        /// Minimum time between two probes of an upstream.
         Duration probe_interval = milliseconds(300);
-        /// A data centre of which something answered so lately is not cut off.
+        /// A data centre is not cut off if any of its upstreams responded this recently.
         Duration data_centre_silence = milliseconds(300);
-        /// Upstreams of a data centre that have to be out of reach before all of it counts as cut off.
+        /// Unreachable upstreams at which a data centre counts as cut off.
         std::size_t data_centre_failures = 2;
-        /// Upstreams of a cut data centre, beside the known ones, that are probed in each round.
+        /// Further upstreams of a cut-off data centre to probe in each round, in addition to those that are unreachable
+        /// or silent.
         std::size_t partition_probes = 1;
     };
 
     ReachabilityTracker(Options options, std::string own_data_centre);
 
     void note_sent(std::string_view identity, std::string_view data_centre, MonotonicTime now);
-    /// Something came from the upstream, be it a part of an answer.
+    /// Records that the upstream sent something, such as a part of a response.
     void note_heard(std::string_view identity, MonotonicTime now);
-    /// A request to it is over, however it ended.
+    /// Records the end of a request to the upstream, whatever its outcome.
     void note_finished(std::string_view identity);
 
     void note_probe(std::string_view identity, MonotonicTime now);
@@ -55,20 +57,22 @@
 
     enum class Isolation {
         None,
-        /// No VM of another data centre answers.
+        /// No VM of another data centre responds.
         OwnDataCentre,
     };
-    /// What else is known of cuts. A data centre counts as cut off from then on, until something of it answers.
+    /// Sets whether this VM's data centre is isolated according to the membership. Each other data centre counts as cut
+    /// off from then on, until one of its upstreams responds.
     void set_isolation(Isolation isolation, MonotonicTime now);
 
     bool is_reachable(std::string_view identity, std::string_view data_centre, MonotonicTime now) const;
     bool is_cut_off(std::string_view data_centre, MonotonicTime now) const;
     bool is_any_cut_off(MonotonicTime now) const;
-    /// The upstreams that are to be probed now since they are silent or out of reach.
+    /// Returns the upstreams to probe now because they are silent or unreachable.
     std::vector<std::string> due_probes(MonotonicTime now) const;
-    /// Of data centres that count as cut off, others that are to be probed: something has to tell when one is back.
+    /// Returns further upstreams to probe in data centres that count as cut off, in order to detect when the partition
+    /// heals.
     std::vector<std::string> due_partition_probes(std::span<UpstreamLocation const> upstreams, MonotonicTime now);
-    /// Forgets upstreams that are no more listed and have nothing in flight.
+    /// Forgets upstreams that are no longer listed and have no requests in flight.
     void retain(std::function<bool(std::string_view)> const& is_listed);
 
 private:
@@ -80,7 +84,7 @@
     struct Entry {
         std::string data_centre;
         std::int64_t in_flight = 0;
-        /// When it was last heard, or when the first request after that was sent.
+        /// When the upstream last responded, or when the first request after that was sent.
         MonotonicTime waiting_since;
         MonotonicTime last_probe;
         Reachability reachability = Reachability::Reachable;
--- a/Libraries/LibDecision/RecentRequests.h
+++ b/Libraries/LibDecision/RecentRequests.h
@@ -11,7 +11,7 @@
 
 namespace Spurtide {
 
-/// The requests that were noted lately: for a time each, and the last so many of them.
+/// The most recently noted requests, bounded by age and number.
 class RecentRequests {
 public:
     struct Options {
@@ -29,7 +29,7 @@
         this->noted.insert_or_assign(request, now);
         this->order.push_back({ request, now });
         while (!this->order.empty() && (this->order.size() > this->options.capacity || now - this->order.front().at > this->options.retention)) {
-            // It may have been noted again since.
+            // The request may have been noted again since.
             auto const found = this->noted.find(this->order.front().request);
             if (found != this->noted.end() && found->second == this->order.front().at)
                 this->noted.erase(found);
--- a/Libraries/LibDecision/RequestFingerprint.cpp
+++ b/Libraries/LibDecision/RequestFingerprint.cpp
@@ -11,7 +11,7 @@
 
 RequestFingerprint RequestFingerprint::of(Parts const& parts)
 {
-    // The lengths go first: otherwise parts that are divided in another way would be the same.
+    // Length prefixes keep the encoding unambiguous if the same bytes are divided differently.
     std::string head;
     for (auto const part : { parts.method, parts.host, parts.target, parts.account })
         head += std::to_string(part.size()) + ':' + std::string(part);
--- a/Libraries/LibDecision/RequestFingerprint.h
+++ b/Libraries/LibDecision/RequestFingerprint.h
@@ -12,26 +12,26 @@
 
 namespace Spurtide {
 
-/// Names what a request asks for, whichever attempt of whichever caller's process brings it and whichever VM takes it:
-/// the first half of a SHA-256, so that nobody can make a request that is taken for another.
+/// Identifies the content of a request, independent of the attempt, the client process and the VM that receives it. It
+/// is the first half of a SHA-256 digest, so that nobody can craft a request that collides with another.
 class RequestFingerprint {
 public:
-    /// What is the same each time that the request comes.
+    /// The parts that are identical in each repetition of the request.
     struct Parts {
         std::string_view method;
         std::string_view host;
         std::string_view target;
-        /// Empty for callers without one.
+        /// Empty for anonymous clients.
         std::string_view account;
         std::string_view body;
     };
 
     static RequestFingerprint of(Parts const& parts);
 
-    /// Raw bytes, for messages; empty where there are not as many as a fingerprint has.
+    /// Raw bytes, for messages. Parsing fails unless the size matches.
     static std::optional<RequestFingerprint> from_bytes(std::string_view bytes);
     std::string to_bytes() const { return { this->bytes.begin(), this->bytes.end() }; }
-    /// In hexadecimal, lower case, for logs and the platform's store.
+    /// Lower-case hexadecimal, for logs and the platform's store.
     static std::optional<RequestFingerprint> from_hex(std::string_view text);
     std::string to_hex() const;
 
--- a/Libraries/LibDecision/Residency.h
+++ b/Libraries/LibDecision/Residency.h
@@ -10,10 +10,10 @@
 
 namespace Spurtide {
 
-/// The region of each data centre.
+/// Maps data centres to regions.
 using RegionMap = std::map<std::string, std::string, std::less<>>;
 
-/// Where a request may be served: in the regions that its route names and its account names, where they name some.
+/// The regions in which a request may be served, as restricted by its route and its account.
 class Residency {
 public:
     Residency() = default;
@@ -23,11 +23,11 @@
     }
 
     bool is_restricted() const;
-    /// A data centre whose region is not known is no home of a bound request.
+    /// A data centre with an unknown region does not satisfy a restriction.
     bool allows(std::string_view data_centre, RegionMap const& regions) const;
 
 private:
-    /// Each that is not empty binds.
+    /// Each non-empty list is a restriction.
     std::vector<std::vector<std::string>> region_lists;
 };
 
--- a/Libraries/LibDecision/RetryBudget.h
+++ b/Libraries/LibDecision/RetryBudget.h
@@ -7,7 +7,7 @@
 
 namespace Spurtide {
 
-/// Limits retries to a share of the first attempts, so that a failing pool is not flooded.
+/// Limits retries to a fraction of the first attempts, so that a failing pool is not overloaded by retries.
 class RetryBudget {
 public:
     RetryBudget(double retries_per_request, double capacity)
--- a/Libraries/LibDecision/RouteTable.cpp
+++ b/Libraries/LibDecision/RouteTable.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// More at rest to one upstream serve no peak of a VM's own.
+/// More idle connections to one upstream do not help with the load peaks of a single VM.
 constexpr std::int64_t MAXIMUM_IDLE_CONNECTIONS = 32;
-/// Of the connections that an upstream takes.
+/// Share of an upstream's connection limit that may be idle.
 constexpr double IDLE_SHARE = 0.5;
 
 }
@@ -30,7 +30,7 @@
 std::string normalize_host(std::string_view host)
 {
     auto const colon = host.rfind(':');
-    // NOTE: An IPv6 address in brackets may hold colons and no port.
+    // NOTE: A bracketed IPv6 address contains colons even without a port.
     if (colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos)
         host = host.substr(0, colon);
     std::string text(host);
--- a/Libraries/LibDecision/RouteTable.h
+++ b/Libraries/LibDecision/RouteTable.h
@@ -17,74 +17,74 @@
 
 namespace Spurtide {
 
-/// What may be repeated of a request.
+/// How often a request may be executed.
 enum class RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Repeatable,
-    /// Runs at most once.
+    /// Executed at most once.
     NotRepeatable,
-    /// An event stream. Runs at most once, but for resumable ones.
+    /// An event stream, executed at most once unless it is resumable.
     Stream,
 };
 
 struct RouteTarget {
     std::string service;
-    /// Share of the requests, against those of the route's other targets.
+    /// Weight relative to the other targets of the route.
     std::int64_t weight = 1;
 };
 
 struct Route {
     std::string name;
-    /// Without a port, in lower case.
+    /// Lower case, without a port.
     std::string host;
     std::string path_prefix;
     RouteKind kind = RouteKind::Repeatable;
-    /// Longest time that a request is held.
+    /// The longest time that a request may take.
     Duration timeout = seconds(30);
-    /// Time within which an answer, or a stream's first event, is on time.
+    /// Latency objective for the response, or for the first event of a stream.
     Duration latency_target = seconds(1);
-    /// Longest pause between two events that is on time; zero where none is set.
+    /// Objective for the longest gap between two events of a stream; zero if there is none.
     Duration pause_target {};
-    /// How long callers of a stream wait for its first event before they leave.
+    /// How long clients wait for the first event of a stream before they disconnect.
     Duration first_event_patience = seconds(30);
-    /// 0 goes first.
+    /// 0 is the highest priority.
     std::int64_t priority = 0;
-    /// Upstreams that one request may be sent to.
+    /// The number of upstreams to which one request may be sent.
     std::int64_t maximum_attempts = 1;
     RouteAccess access = RouteAccess::Accounts;
-    /// Whether a stream may go on at another upstream behind the last event that came.
+    /// Whether an interrupted stream may be resumed on another upstream after the last event received.
     bool is_resumable = false;
-    /// Regions that its requests, their prompts and what is made of them stay in; empty for all.
+    /// The regions that the requests and all data derived from them must not leave; empty if unrestricted.
     std::vector<std::string> home_regions {};
     std::vector<RouteTarget> targets;
 
-    /// Picks a target by a number that is spread evenly, such as a hash of the request's name.
+    /// Selects a target by weight with a uniformly distributed hash, such as that of the request identifier.
     std::string const& target_for(std::uint64_t hash) const;
 };
 
-/// What the engines of a service have in common.
+/// Properties shared by all engines of a service.
 struct EngineTraits {
     std::int64_t slots = 1;
     std::int64_t memory_tokens = 0;
     double cache_bytes_per_token = 0;
     double link_bytes_per_second = 1;
-    /// Tokens that one event of a stream holds, but for the last.
+    /// Tokens per event of a stream, except for the last event.
     std::int64_t tokens_per_event = 1;
-    /// How long an engine keeps a finished prefill for others.
+    /// How long an engine keeps a finished prefill for retrieval by others.
     Duration cache_hold = milliseconds(500);
 };
 
 struct ServiceTraits {
     std::string name;
-    /// Connections that one upstream takes from all VMs together.
+    /// Connections that one upstream accepts from all VMs together.
     std::int64_t maximum_connections = 64;
-    /// Requests a second that one upstream bears from all VMs together while it is cold; 0 where nothing bounds them.
+    /// Requests per second that one upstream handles from all VMs together during its warm-up; 0 if unlimited.
     double cold_rate = 0;
     /// Set for services whose upstreams are engines.
     std::optional<EngineTraits> engine;
 };
 
-/// What callers may send.
+/// Limits on client requests.
 struct CallerLimits {
     std::size_t maximum_head = 16UL * 1024;
     std::size_t maximum_body = 4UL * 1024 * 1024;
@@ -92,21 +92,22 @@
     Duration idle_timeout = seconds(15);
 };
 
-/// The configuration that the data path works by. A higher version replaces a lower one.
-/// How many connections each VM may keep at rest to an upstream of any of the services: all VMs together half of what it takes,
-/// or one each where that is more. The rest is for connections that carry requests.
+/// Returns how many idle connections each VM may keep to an upstream of any of the services. All VMs together use at
+/// most half of the upstream's connection limit, or one connection each if that is more; the rest is reserved for
+/// active requests.
 std::size_t idle_connections_per_virtual_machine(std::span<ServiceTraits const> services, VirtualMachineCount const& machines);
 
+/// The configuration of the data path. A higher version supersedes a lower one.
 struct RoutingConfiguration {
     std::int64_t version = 0;
     std::vector<Route> routes;
     std::vector<ServiceTraits> services;
     CallerLimits limits;
-    /// Null where callers need no account.
+    /// Null if clients need no account.
     std::shared_ptr<AccountBook const> accounts;
 };
 
-/// Finds the route of a request: among those of its host, the one with the longest prefix of its path.
+/// Finds the route of a request: the one with the longest matching path prefix among those of the host.
 class RouteTable {
 public:
     explicit RouteTable(RoutingConfiguration configuration);
@@ -118,11 +119,11 @@
 
 private:
     RoutingConfiguration current;
-    /// Indexes of routes by host, the longest prefix first.
+    /// Indices into the routes by host, sorted by descending prefix length.
     std::map<std::string, std::vector<std::size_t>, std::less<>> by_host;
 };
 
-/// A host without its port, in lower case.
+/// Returns the host in lower case and without its port.
 std::string normalize_host(std::string_view host);
 
 }
--- a/Libraries/LibDecision/SendAccounting.cpp
+++ b/Libraries/LibDecision/SendAccounting.cpp
@@ -10,7 +10,8 @@
 
 std::size_t SendAccounting::uncharged(Send send) const
 {
-    // A first prefill either is taken up, and the run behind it arrives, or is refused, and arrives itself.
+    // A first prefill is either accepted, and then the run that follows it arrives, or refused, and then it arrives
+    // itself.
     std::size_t const more = send == Send::Prefill && this->has_prefilled ? 2 : 1;
     auto const beyond_first = this->arrivals == 0 ? more - 1 : more;
     return beyond_first - std::min(beyond_first, this->unused.size());
--- a/Libraries/LibDecision/SendAccounting.h
+++ b/Libraries/LibDecision/SendAccounting.h
@@ -8,12 +8,12 @@
 
 namespace Spurtide {
 
-/// What of one request arrives at its service, and what of that the service's retry budget was charged.
+/// Counts the arrivals of one request at its service, and charges them to the service's retry budget.
 ///
-/// All that is sent arrives, refused or not, but for the first prefill that an engine takes up. The first arrival is
-/// the request itself; each further one is paid for before it leaves, whatever came before it. Charging by what the
-/// last send had been left out what follows a refused prefill: of 79 extra arrivals in ten seconds at engines that
-/// refuse six in ten of what they get, 46 were charged.
+/// Everything that is sent arrives, refused or not, except for the first prefill that an engine accepts. The first
+/// arrival is the request itself; each further one is charged before it is sent, whatever preceded it. Charging by the
+/// outcome of the previous send missed what follows a refused prefill: of 79 extra arrivals in ten seconds at engines
+/// that refuse six in ten requests, only 46 were charged.
 class SendAccounting {
 public:
     enum class Send {
@@ -23,7 +23,7 @@
 
     enum class PrefillOutcome {
         Accepted,
-        /// Refused, or without an answer: it may have been refused.
+        /// Refused, or not answered, in which case it may have been refused.
         NotAccepted,
     };
 
@@ -32,17 +32,17 @@
     {
     }
 
-    /// Extra sends that have to be taken from the budget before this may leave: for a prefill those of the run behind it
-    /// as well, so that no prompt is read for a run that the budget has nothing for.
+    /// Returns the extra sends that have to be charged before this one. For a prefill this includes the run that
+    /// follows it, so that no prompt is processed for a run that the budget does not cover.
     std::size_t uncharged(Send send) const;
-    /// Takes them; false where the budget has not all of them.
+    /// Charges them to the budget; returns false if the budget does not cover all of them.
     bool try_charge(Send send, double part, MonotonicTime now);
 
-    /// Call when a run leaves, and when a prefill ended. Both have to be paid for.
+    /// Records that a run is sent or that a prefill ended. Both have to be charged first.
     void note_run(MonotonicTime now) { this->note_arrival(now); }
     void note_prefill(PrefillOutcome end, MonotonicTime now);
 
-    /// Gives back what was paid and not used. Call at the request's end.
+    /// Refunds charges that were not used. Has to be called at the end of the request.
     void refund_unused();
 
 private:
@@ -51,7 +51,7 @@
     SharedRetryBudget& budget;
     std::size_t arrivals = 0;
     bool has_prefilled = false;
-    /// When each of those that are not used yet was taken.
+    /// When each of the unused charges was made.
     std::vector<MonotonicTime> unused;
 };
 
--- a/Libraries/LibDecision/SharedRetryBudget.cpp
+++ b/Libraries/LibDecision/SharedRetryBudget.cpp
@@ -24,7 +24,7 @@
 void SharedRetryBudget::refund(MonotonicTime taken_at)
 {
     auto const found = std::lower_bound(this->extra_sends.begin(), this->extra_sends.end(), taken_at);
-    // One that has left the window already is not there any more.
+    // A charge that has already left the window is no longer there.
     if (found != this->extra_sends.end() && *found == taken_at)
         this->extra_sends.erase(found);
 }
--- a/Libraries/LibDecision/SharedRetryBudget.h
+++ b/Libraries/LibDecision/SharedRetryBudget.h
@@ -9,17 +9,17 @@
 
 namespace Spurtide {
 
-/// Bounds what is sent to a service beyond the first time of each request, over a sliding window. All VMs
-/// together share the ratio of their requests and a fixed allowance; each VM takes a part of the latter.
+/// Limits extra sends to a service, beyond the first send of each request, within a sliding window. The limit is a
+/// ratio of the requests plus a fixed allowance for all VMs together, of which each VM has a share.
 class SharedRetryBudget {
 public:
     struct Options {
-        /// Of the service's requests in the window.
+        /// Extra sends per request of the service in the window.
         double ratio = 0.2;
-        /// Extra sends of all VMs together that are allowed whatever the requests.
+        /// Extra sends that all VMs together may make regardless of the number of requests.
         double allowance = 20;
         Duration window = seconds(10);
-        /// Part of both that is used; the rest is for requests that other VMs counted otherwise.
+        /// Fraction of the limit that is used; the margin covers requests that are counted differently on other VMs.
         double safety_factor = 0.7;
     };
 
@@ -30,19 +30,19 @@
 
     void note_request(MonotonicTime now);
 
-    /// Takes all of so many extra sends where the budget has them, else none. The part is this VM's of the allowance.
+    /// Charges either all of `count` extra sends or none. `share` is this VM's share of the allowance.
     bool try_take(std::size_t count, double share, MonotonicTime now);
-    /// Gives back an extra send that was not used.
+    /// Refunds an extra send that was not made.
     void refund(MonotonicTime taken_at);
-    /// An extra send that was taken earlier leaves only now, and counts within the window from now on.
+    /// Restarts the window of an extra send that was charged at `taken_at` but is made now.
     void restart_window(MonotonicTime taken_at, MonotonicTime now);
 
-    /// What the budget holds now, for those who ask why a send was or was not allowed.
+    /// The current state of the budget, for diagnostics.
     struct Level {
         /// Requests and extra sends of this VM within the window.
         std::size_t requests = 0;
         std::size_t extra_sends = 0;
-        /// Extra sends that this VM may have within the window.
+        /// Extra sends that this VM may make within the window.
         double limit = 0;
     };
 
@@ -54,7 +54,7 @@
 
     Options options;
     std::deque<MonotonicTime> requests;
-    // In the order of their times.
+    // In chronological order.
     std::deque<MonotonicTime> extra_sends;
 };
 
--- a/Libraries/LibDecision/StopPolicy.h
+++ b/Libraries/LibDecision/StopPolicy.h
@@ -9,27 +9,27 @@
 
 namespace Spurtide {
 
-/// How far a planned stop has come.
+/// The progress of a planned stop.
 struct StopProgress {
-    /// Until this process ends.
+    /// Time until this process exits.
     Duration remaining {};
-    /// From the stop's begin to the process's end.
+    /// Time from the beginning of the stop to the exit.
     Duration total {};
 };
 
-/// How long a request takes, as far as that is known before it begins.
+/// The expected duration of a request, as far as it is known in advance.
 struct ExpectedTime {
-    /// It is held no longer.
+    /// The timeout of the request.
     Duration maximum {};
-    /// Nine in ten of its kind end within this; empty where none was seen.
+    /// The 90th percentile of similar requests; empty if there is no data.
     std::optional<Duration> probable {};
 };
 
-/// Whether a request that begins now will be over before the process ends. A stopping VM is still sent callers
-/// for two seconds, and longer while few others of its data centre are ready. A stream is taken if it will probably
-/// end in time: one that is cut is lost, one that is refused at once is served elsewhere. Where nothing is known of
-/// streams' lengths they are taken in the first third of the stop. Calls have to end within the time that they may
-/// be held.
+/// Whether a request that begins now is expected to end before the process exits. A stopping VM still receives clients
+/// for two seconds, and longer while few other VMs of its data centre are ready. A stream is accepted if it will
+/// probably end in time: one that is interrupted is lost, while one that is refused at once is served elsewhere. If no
+/// durations are known, streams are accepted during the first third of the stop. Other requests have to end within
+/// their timeout.
 inline bool may_begin_before_stop(RouteKind kind, ExpectedTime expected, StopProgress stop)
 {
     if (kind != RouteKind::Stream)
--- a/Libraries/LibDecision/UpstreamLimitTable.h
+++ b/Libraries/LibDecision/UpstreamLimitTable.h
@@ -14,38 +14,40 @@
 
 namespace Spurtide {
 
-/// What an upstream said at some time of the requests a second that it takes from all VMs together.
+/// The request rate that an upstream accepts from all VMs together, as it stated at some point in time.
 struct UpstreamLimitStatement {
-    /// Requests a second; empty where it named no limit.
+    /// Requests per second; empty if the upstream stated no limit.
     std::optional<double> rate;
-    /// A limit: when it was heard. None: when the request was sent whose answer named none, since answers to earlier requests
-    /// may have been made before the limit.
+    /// For a limit, when it was received. Otherwise, when the request was sent whose response stated none, since
+    /// responses to earlier requests may predate the limit.
     MonotonicTime as_of;
 };
 
-/// The newest statement of each upstream, as far as this VM heard of it. Pure: time is passed in.
+/// The latest rate limit statement of each upstream that this VM has received. Time is passed in.
 class UpstreamLimitTable {
 public:
     enum class Change {
         None,
-        /// Another limit is in force, or none any more.
+        /// A different limit is in force, or none any more.
         InForce,
     };
 
-    /// Takes the statement unless a newer one is known. That an upstream of which nothing is known named no limit is no news.
+    /// Stores the statement unless a newer one is known. An upstream without a known limit that states none is not
+    /// stored.
     Change take(std::string_view upstream, UpstreamLimitStatement const& statement);
 
-    /// The limit that is in force, in requests a second; empty where there is none.
+    /// Returns the limit in force in requests per second, if there is one.
     std::optional<double> rate_of(std::string_view upstream) const;
-    /// Empty where nothing is known.
+    /// Returns the latest statement, if there is one.
     std::optional<UpstreamLimitStatement> statement_of(std::string_view upstream) const;
-    /// Differs between two VMs, but for rare chances, where they know of limits of other upstreams; 0 where there are none.
+    /// Differs between two VMs, barring hash collisions, if they know limits of different upstreams; 0 if there are
+    /// none.
     std::uint64_t digest() const;
-    /// Calls the function with the name of each upstream of which something is known.
+    /// Calls the function with the name of each upstream that has a statement.
     void for_each(std::function<void(std::string_view)> const& function) const;
-    /// Upstreams with a limit.
+    /// Number of upstreams with a limit.
     std::size_t size() const;
-    /// Forgets upstreams that are no more listed.
+    /// Forgets upstreams that are no longer listed.
     void retain(std::function<bool(std::string_view)> const& is_listed);
 
 private:
--- a/Libraries/LibDecision/UpstreamList.cpp
+++ b/Libraries/LibDecision/UpstreamList.cpp
@@ -29,7 +29,7 @@
     auto const found = this->entries.find(identity);
     if (found == this->entries.end())
         return;
-    // One that said that it leaves has left.
+    // An upstream that announced its departure does not come back.
     bool const may_come_back = found->second.announced_life == UpstreamRecord::Life::Serving && this->was_recently_unreachable(now);
     if (!may_come_back) {
         this->retained_entries -= found->second.retained_until ? 1 : 0;
@@ -86,7 +86,7 @@
     std::set<std::string> identities;
     for (auto const& change : listed) {
         identities.insert(change.identity);
-        // It came back after an end that is known, since the list is as of a later position.
+        // The listing reflects a later position, so the upstream came back after the known removal.
         this->removals.erase(change.identity);
         this->apply(change, now);
     }
@@ -97,7 +97,7 @@
     }
     for (auto const& identity : missing)
         this->remove_or_retain(identity, now);
-    // Some may have come and gone before this list was made.
+    // Some upstreams may have been added and removed before this listing was made.
     this->removals.clear();
     this->removals_known_from = position;
 }
--- a/Libraries/LibDecision/UpstreamList.h
+++ b/Libraries/LibDecision/UpstreamList.h
@@ -16,9 +16,9 @@
 
 namespace Spurtide {
 
-/// An upstream as it announces itself.
+/// An upstream as announced in the registry.
 struct UpstreamRecord {
-    /// Names the upstream. It may start again under the same name, with nothing that it had before.
+    /// An upstream may restart under the same identity, without any of its earlier state.
     std::string identity;
     std::string service;
     /// HOST:PORT.
@@ -32,28 +32,29 @@
         = Life::Serving;
     /// Set for engines.
     std::optional<EngineRole> role;
-    /// How many orders the engine took since its start.
+    /// Number of orders that the engine has accepted since its start.
     std::int64_t orders_taken = 0;
-    /// Its start in milliseconds since the epoch, by its own clock; tells two starts apart. 0 where it does not tell.
+    /// Start time in milliseconds since the epoch by the upstream's clock, which distinguishes two incarnations; 0 if
+    /// not reported.
     std::int64_t started = 0;
-    /// How much longer it is cold, as of its entry: until then it bears a bounded rate of requests.
+    /// Remaining warm-up time as of the registry entry. During warm-up the upstream handles a limited request rate.
     Duration cold_for {};
-    /// The same as a time of this VM's; set by the list.
+    /// End of the warm-up on this VM's clock; set by the list.
     MonotonicTime cold_until {};
 
     bool operator==(UpstreamRecord const&) const = default;
 };
 
-/// One change of the list: a record, or the end of one.
+/// A change of one entry: a new record, or its removal.
 struct UpstreamChange {
     std::string identity;
-    /// Empty when the upstream is gone.
+    /// Empty if the upstream was removed.
     std::optional<UpstreamRecord> record;
-    /// The list's version with this change.
+    /// The version of the list with this change.
     std::int64_t version = 0;
 };
 
-/// What one VM tells another of its list: all of it, or what changed since the version that the other has.
+/// The update that one VM sends to another: a snapshot, or the changes since the version that the other VM has.
 struct UpstreamListing {
     enum class Extent {
         Snapshot,
@@ -62,20 +63,20 @@
         = Extent::Snapshot;
     std::int64_t version = 0;
     std::vector<UpstreamRecord> records;
-    /// Identities of those that are gone, where it tells changes alone.
+    /// Identities of removed upstreams; set for deltas only.
     std::vector<std::string> removed;
 };
 
-/// The upstreams that are known, and which of them get new work. Upstreams whose entries lapsed while their
-/// registry was away are kept for a short time after its return, since those that live announce themselves
-/// again; entries that end while the registry is well are gone at once. Those of an evacuated data centre are
-/// shown as leaving, so that all that holds for the ones holds for the others; peers are told what they said.
+/// The known upstreams, and which of them accept new work. Entries that expire during a registry outage are retained
+/// for a short time after it, as live upstreams announce themselves again; entries removed while the registry is
+/// available disappear at once. Upstreams of an evacuated data centre are presented as leaving, so that both are
+/// treated alike; peers receive the announced state.
 class UpstreamList {
 public:
     struct Options {
-        /// How long after the registry's return lapsed entries are kept.
+        /// How long expired entries are retained after the registry has recovered.
         Duration lapse_grace = milliseconds(1800);
-        /// Ends that are remembered for peers that ask what changed; one that asks for older ones gets the whole.
+        /// Removals kept for peers that request a delta. A peer that requests older ones receives a snapshot.
         std::size_t remembered_removals = 1024;
     };
 
@@ -88,41 +89,42 @@
         Available,
         Unreachable,
     };
-    /// Tells whether the registry can be read just now.
+    /// Sets whether the registry can currently be read.
     void note_registry(RegistryState state, MonotonicTime now);
 
     void apply(UpstreamChange const& change, MonotonicTime now);
-    /// Takes the whole list as of a position; what is not in it is gone. Entries have the versions of their last changes.
+    /// Replaces the list with a snapshot as of a position; entries not contained in it are removed. Each entry has the
+    /// version of its last change.
     void replace(std::vector<UpstreamChange> const& listed, std::int64_t position, MonotonicTime now);
-    /// What a peer with that version lacks.
+    /// Returns what a peer with the given version is missing.
     UpstreamListing listing_since(std::int64_t known) const;
-    /// Takes what a peer told; older news change nothing.
+    /// Merges an update from a peer; outdated changes are ignored.
     void take(UpstreamListing const& listing, MonotonicTime now);
-    /// Gives the changes that were news.
+    /// Merges the update and returns the evacuations whose state changed.
     std::vector<Evacuation> take(EvacuationUpdate const& news);
     EvacuationTable const& evacuations() const { return this->evacuation_table; }
-    /// Lets time pass; true where a kept entry was dropped.
+    /// Drops retained entries whose time is over. Returns whether there were any.
     bool advance(MonotonicTime now);
 
-    /// That of the newest change that is known. Equal lists may have read the registry at different positions.
+    /// The version of the latest known change. Equal lists may have been read at different registry positions.
     std::int64_t version() const { return this->current_version; }
-    /// All that are known and not gone.
+    /// Returns all entries, including retained ones.
     std::vector<UpstreamRecord> records() const;
-    /// The same without copies, which at thousands of upstreams cost more than what is done with them.
+    /// Visits all entries without copying them, which is expensive with thousands of upstreams.
     void for_each(std::function<void(UpstreamRecord const&)> const& visit) const;
-    /// Whether the upstream of that identity may get new work.
+    /// Whether the upstream accepts new work.
     bool takes_work(std::string_view identity) const;
     UpstreamRecord const* find(std::string_view identity) const;
     std::size_t size() const { return this->entries.size(); }
 
 private:
     struct Entry {
-        /// Leaving where the data centre is evacuated.
+        /// Its state is Leaving if the data centre is evacuated.
         UpstreamRecord record;
-        /// As the upstream itself says.
+        /// The state announced by the upstream.
         UpstreamRecord::Life announced_life = UpstreamRecord::Life::Serving;
         std::int64_t version = 0;
-        /// Set while the entry lapsed and is kept.
+        /// Set if the entry has expired and is retained.
         std::optional<MonotonicTime> retained_until;
     };
 
@@ -136,12 +138,12 @@
     std::map<std::string, Entry, std::less<>> entries;
     EvacuationTable evacuation_table;
     std::int64_t current_version = 0;
-    /// The version with which each of them ended. Those before the next are not all known.
+    /// The version of each removal. Removals before `removals_known_from` are incomplete.
     std::map<std::string, std::int64_t, std::less<>> removals;
     std::int64_t removals_known_from = 0;
     RegistryState registry = RegistryState::Available;
     std::optional<MonotonicTime> returned_at;
-    /// Of the entries, those that lapsed and are kept: mostly none, and then there is nothing to look through.
+    /// Number of retained entries. Usually zero, which makes advance() cheap.
     std::size_t retained_entries = 0;
 };
 
--- a/Libraries/LibDecision/UpstreamPacer.cpp
+++ b/Libraries/LibDecision/UpstreamPacer.cpp
@@ -15,7 +15,7 @@
     if (found == this->entries.end())
         found = this->entries.emplace(std::string(upstream), Entry { interval, now + interval, now }).first;
     auto& entry = found->second;
-    // Under a higher limit the turns that were given come sooner.
+    // A higher limit moves the turns that were already granted forward.
     if (interval < entry.interval && entry.next > now)
         entry.next = now + Duration(static_cast<std::int64_t>(static_cast<double>((entry.next - now).count()) * to_seconds(interval) / to_seconds(entry.interval)));
     entry.interval = interval;
--- a/Libraries/LibDecision/UpstreamPacer.h
+++ b/Libraries/LibDecision/UpstreamPacer.h
@@ -11,27 +11,28 @@
 
 namespace Spurtide {
 
-/// Spaces the requests of all VMs to upstreams that named how many they take, on the VM that does so for an upstream. Pure:
-/// time is passed in.
+/// Paces the requests of all VMs to rate-limited upstreams, on the VM that is responsible for the upstream. Time is
+/// passed in.
 ///
-/// What was not used is not saved up: an upstream in need gets no bursts. A pacer that is new in office begins with a full
-/// interval, since another may just have let a request go.
+/// Unused turns do not accumulate, as an overloaded upstream must not receive bursts. A new pacer starts with a full
+/// interval, since its predecessor may just have granted a turn.
 class UpstreamPacer {
 public:
     struct Ask {
-        /// Requests a second that the upstream takes from those whom this pacer counts; more than 0.
+        /// Requests per second that the upstream accepts from the VMs counted by this pacer; greater than 0.
         double rate = 1;
-        /// How long the request may wait for its turn where it stands; zero where it would rather go elsewhere.
+        /// How long the request can wait for its turn; zero if it prefers another upstream.
         Duration longest_wait {};
-        /// How long its caller can wait to come back; zero where it does not have to.
+        /// How long the client can wait before it retries; zero if it does not need to.
         Duration patience {};
     };
 
     struct Turn {
         enum class Outcome {
-            /// The request may be sent after the wait; its turn is kept until then.
+            /// The request may be sent after the wait. Its turn is reserved until then.
             Granted,
-            /// No turn comes soon enough. The wait is when one may be free again, behind other callers who were told so.
+            /// No turn is available soon enough. The wait is when one may be available, after other clients that were
+            /// told to retry.
             Denied,
         } outcome
             = Outcome::Denied;
@@ -39,17 +40,17 @@
     };
 
     Turn take(std::string_view upstream, Ask const& ask, MonotonicTime now);
-    /// A granted request was not sent.
+    /// Returns the turn of a granted request that was not sent.
     void return_turn(std::string_view upstream, MonotonicTime now);
-    /// Forgets upstreams that have no limit any more.
+    /// Forgets upstreams that are no longer limited.
     void retain(std::function<bool(std::string_view)> const& is_limited);
 
 private:
     struct Entry {
         Duration interval {};
-        /// When the next turn is free.
+        /// When the next turn is available.
         MonotonicTime next;
-        /// When the caller comes back who was told the latest time.
+        /// The latest time at which a client was told to retry.
         MonotonicTime last_retry;
     };
 
--- a/Libraries/LibDecision/UpstreamSelector.cpp
+++ b/Libraries/LibDecision/UpstreamSelector.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int MAXIMUM_DOUBLINGS = 6;
-/// Before the first answer: in the order of a short service call.
+/// Initial estimate, typical of a short service call.
 constexpr double FIRST_MEAN_SECONDS = 0.05;
 
 }
@@ -37,7 +37,7 @@
         bool const is_full = now < state.full_until;
         return std::make_pair((is_excluded ? 2 : 0) + (is_full ? 1 : 0), this->expected_seconds(upstreams[index], state));
     };
-    // Equals take turns, so that VMs that know nothing yet do not all begin with the same one.
+    // Ties are broken in rotation, so that VMs without any data do not all begin with the same upstream.
     std::size_t const first = static_cast<std::size_t>(this->turn++) % upstreams.size();
     std::size_t best = first;
     for (std::size_t step = 1; step < upstreams.size(); ++step) {
--- a/Libraries/LibDecision/UpstreamSelector.h
+++ b/Libraries/LibDecision/UpstreamSelector.h
@@ -15,7 +15,7 @@
 
 namespace Spurtide {
 
-/// An upstream of a plain service that could take a request.
+/// A candidate upstream of a plain service.
 struct SelectableUpstream {
     std::string_view identity;
     std::int64_t slots = 1;
@@ -26,29 +26,29 @@
         = Place::SameDataCentre;
 };
 
-/// How one send to an upstream turned out.
+/// The outcome of one send to an upstream.
 enum class UpstreamOutcome {
     Succeeded,
-    /// It is full: healthy, but not to be filled further just now.
+    /// The upstream is healthy, but at capacity.
     Full,
-    /// It did not answer, or not with a whole answer.
+    /// The upstream sent no response or an incomplete one.
     Failed,
 };
 
-/// Chooses among the upstreams of plain services by what this VM sent and got back, and leaves out those that
-/// fail for a time that doubles. Never leaves out more than half of a service's upstreams.
+/// Selects upstreams of plain services by observed response times and requests in flight. Upstreams that fail are
+/// ejected for an exponentially growing time, but never more than half of a service's upstreams.
 class UpstreamSelector {
 public:
     struct Options {
-        /// Consecutive bad outcomes that leave an upstream out.
+        /// Consecutive failures after which an upstream is ejected.
         int failures_before_ejection = 3;
         Duration first_ejection = milliseconds(1000);
         Duration maximum_ejection = seconds(8);
-        /// A full upstream gets nothing for so long, while others have room.
+        /// How long a full upstream is avoided while others have capacity.
         Duration full_backoff = milliseconds(150);
-        /// Weight of a new sample in the mean time of an answer.
+        /// Weight of a new sample in the moving average of response times.
         double smoothing = 0.15;
-        /// Cost of an upstream in another data centre, as time.
+        /// Penalty for an upstream in another data centre, as time.
         Duration remote_penalty = milliseconds(4);
     };
 
@@ -57,12 +57,12 @@
     {
     }
 
-    /// Picks the upstream with the least expected time; empty where there is none.
+    /// Selects the upstream with the shortest expected response time; empty if there are none.
     std::optional<std::size_t> choose(std::span<SelectableUpstream const> upstreams, MonotonicTime now);
 
     void note_sent(std::string_view identity);
     void note_end(std::string_view identity, UpstreamOutcome outcome, Duration took, MonotonicTime now);
-    /// Forgets upstreams that are no more listed.
+    /// Forgets upstreams that are no longer listed.
     void retain(std::function<bool(std::string_view)> const& is_listed);
 
     std::int64_t in_flight(std::string_view identity) const;
@@ -76,7 +76,7 @@
         MonotonicTime ejected_until;
         MonotonicTime full_until;
         double mean_seconds = 0;
-        /// One request at a time tries an upstream that was left out.
+        /// After an ejection, the upstream receives one trial request at a time.
         bool needs_trial = false;
     };
 
--- a/Libraries/LibDecision/WatchPlan.cpp
+++ b/Libraries/LibDecision/WatchPlan.cpp
@@ -49,7 +49,8 @@
     this->assigned_watcher_name = *std::max_element(this->order.begin(), first_listener, [&](auto const& one, auto const& other) { return rendezvous_score(this->own_virtual_machine, one) < rendezvous_score(this->own_virtual_machine, other); });
 }
 
-// A VM behind this one stops to watch once it is told itself; did this one rely on it, both would stop.
+// A VM further back in the order stops watching once it receives updates itself. If this VM relied on it, both would
+// stop.
 void WatchPlan::note_update(std::string_view sender, MonotonicTime now)
 {
     this->last_update = now;
