--- a/Tests/LibDecision/TestEvacuationTable.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -42,7 +42,7 @@
     REQUIRE(book.take(change("a", 9, State::Over)).size() == 1);
     CHECK(book.take(change("a", 5)).empty());
     CHECK_FALSE(book.is_evacuated("a"));
-    // An end that comes before its order.
+    // The end arrives before the order.
     CHECK(book.take(change("b", 8, State::Over)).size() == 1);
     CHECK(book.take(change("b", 7)).empty());
     CHECK_FALSE(book.is_evacuated("b"));
@@ -60,7 +60,7 @@
     CHECK_FALSE(book.is_evacuated("a"));
     CHECK(book.is_evacuated("b"));
     CHECK(book.is_evacuated("c"));
-    // A reading of the time before.
+    // An earlier snapshot.
     CHECK(book.take(whole(4, { { "c", 3, State::Ordered } })).empty());
     CHECK_FALSE(book.is_evacuated("a"));
 }
--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -27,7 +27,7 @@
     return { { "directory", "tcp://" + name + ":1", name + ".1" }, { "placement", "tcp://" + name + ":2", name + ".2" } };
 }
 
-/// VMs that gossip in virtual time, two peers a second, with seeded loss.
+/// VMs that gossip in virtual time, with two peers a second and seeded message loss.
 class Gossip {
 public:
     explicit Gossip(int count, std::uint64_t seed, double loss = 0)
@@ -57,7 +57,7 @@
                 continue;
             this->tables[i].update_self(services(this->names[i]), 1);
             this->tables[i].advance(now);
-            // VM 0 is everybody's seed.
+            // VM 0 is the seed of all others.
             if (i != 0 && !this->tables[i].find(this->names[0]))
                 this->exchange(i, 0, now);
             for (auto const& target : this->tables[i].next_targets(2))
@@ -112,7 +112,7 @@
         this->tables[to].merge_records(records, now);
     }
 
-    /// True where the answer came.
+    /// Returns true if the acknowledgement arrived.
     bool exchange(std::size_t from, std::size_t to, MonotonicTime now)
     {
         if (from == to || this->silent[to] || this->is_lost())
@@ -147,7 +147,7 @@
             gossip.run_second(at_milliseconds(second++ * 1000));
             REQUIRE(second - 30 <= 12);
         }
-        // Not before the suspicion has lasted its three seconds.
+        // Not before the suspicion timeout of three seconds.
         CHECK(second - 30 >= 4);
     }
 }
@@ -200,7 +200,7 @@
         Gossip gossip(count, 3);
         gossip.run(0, 60);
         CHECK(gossip.tables[0].digests_for("vm-1").size() <= 10);
-        // Where nothing changes there is no news: the own digest is all.
+        // Without any updates only the VM's own digest is sent.
         CHECK(gossip.tables[0].digests_for("vm-1").size() == 1);
     }
 }
@@ -260,8 +260,8 @@
 
 namespace {
 
-/// VMs that all start within 0.3 s, as after a power cut, and meet through three seeds. Steps of 10 ms; messages arrive
-/// within a step. Counts what each sends of keys and records.
+/// VMs that all start within 0.3 s, as after a power failure, and find each other through three seeds. Simulated in
+/// steps of 10 ms, with messages that arrive within a step. Counts the bytes of keys and records that each VM sends.
 class FleetStart {
 public:
     explicit FleetStart(int count)
@@ -342,8 +342,8 @@
 
 }
 
-// All VMs of a large deployment come back from a power cut together. A list of 350 VMs from each of three seeds to each VM
-// would be 55 MB through three links of 2.5 MB/s.
+// All VMs of a large deployment restart together after a power failure. If each of the three seeds sent its list of 350
+// VMs to each VM, 55 MB would have to pass through three links of 2.5 MB/s.
 TEST_CASE("Hundreds of VMs that start together all know each other within a second and a half", "[kill][power]")
 {
     FleetStart fleet(350);
@@ -366,7 +366,7 @@
     CHECK(table.mark_suspect("vm-3", at_milliseconds(100)) == MembershipTable::Suspicion::Known);
     table.advance(at_milliseconds(4000));
     CHECK(table.keys().size() == 3);
-    // The asker has an earlier start of vm-2, and a VM that is not known here.
+    // The peer has an earlier incarnation of vm-2 and knows a VM that is unknown here.
     std::vector<std::uint64_t> const keys = { member_key(record("vm-9")), member_key(record("vm-2", 4)), member_key(record("vm-0")), member_key(record("vm-1")) };
     auto const difference = table.compare_keys("vm-9", keys, 10);
     REQUIRE(difference.missing_records.size() == 1);
@@ -379,7 +379,7 @@
 
 namespace {
 
-/// The VMs "own-1" and "own-2" of one data centre and "far-1" and "far-2" of another, as "own-1" knows them.
+/// The VMs "own-1" and "own-2" of one data centre and "far-1" and "far-2" of another, as seen by "own-1".
 class TwoDataCentres {
 public:
     TwoDataCentres()
@@ -388,7 +388,7 @@
         this->table.merge_records(others, this->now);
     }
 
-    /// Doubts the VMs and lets the time pass.
+    /// Suspects the VMs and advances the time.
     void lose(std::initializer_list<char const*> names, Duration passed)
     {
         for (auto const* name : names)
@@ -432,13 +432,13 @@
     CHECK(test.table.count().share_of_each() == 0.25);
 }
 
-// The pattern: regions lose each other for an hour, and both go on.
+// Regions are partitioned from each other for an hour, and both sides go on serving.
 TEST_CASE("The VMs of a data centre that is silent as a whole count for as long as it is", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
     test.lose({ "far-1", "far-2" }, seconds(3600));
     CHECK(test.table.count() == VirtualMachineCount { 2, 2 });
-    // One is back, and what becomes of the other is known now.
+    // One VM of the data centre responds again, so the other one is known to be dead.
     test.tell("far-1", MemberLiveness::Alive, 1);
     test.pass(seconds(2));
     CHECK(test.table.count() == VirtualMachineCount { 3, 0 });
@@ -471,14 +471,14 @@
     test.tell("far-1", MemberLiveness::Alive, 2);
     test.lose({ "far-1" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 1 });
-    // The other's data centre is silent, but it went by its own will.
+    // The other VM's data centre does not respond, but that VM left as planned.
     test.pass(seconds(3600));
     CHECK_FALSE(test.table.find("far-2"));
 }
 
 namespace {
 
-/// VMs that know each other already.
+/// VMs that know each other from the start.
 std::vector<MembershipTable> acquainted(std::size_t count)
 {
     std::vector<MemberRecord> records;
@@ -536,7 +536,7 @@
     auto const count = GENERATE(30, 300);
     Gossip gossip(count, 11);
     gossip.acquaint();
-    // The news that all started have gone round.
+    // By then the updates about all VMs have been transmitted.
     gossip.run(0, 40);
     REQUIRE(gossip.everyone_sees("vm-23", MemberLiveness::Alive));
     gossip.silent[23] = true;
--- a/Tests/LibDecision/TestPartitionDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -47,7 +47,8 @@
 
 namespace {
 
-/// VMs of several data centres that probe two others each half second, up to three times 150 ms apart, in steps of 10 ms.
+/// VMs of several data centres that probe two others every half second, with up to three attempts 150 ms apart, in
+/// steps of 10 ms.
 class ProbingFleet {
 public:
     ProbingFleet(std::size_t data_centres, std::size_t members, double dead, double loss, std::uint64_t seed)
@@ -152,8 +153,8 @@
 
 }
 
-// A data centre of 60 VMs is cut off from 240 others. Each VM sees a request each five seconds: by those alone none would know
-// before the cut is over.
+// A data centre of 60 VMs is cut off from 240 others. Each VM receives a request every five seconds, so by failing
+// requests alone no VM would detect the partition before it heals.
 TEST_CASE("All VMs of a data centre that is cut off know it within two seconds, and all of them when it is over", "[cut]")
 {
     ProbingFleet fleet(5, 60, 0.05, 0.01, 11);
@@ -191,7 +192,8 @@
             worst = std::max(worst, fleet.flagged(false));
         }
         CAPTURE(seed);
-        // One in 25 at one moment at the most. Each does without the other data centres until it hears of one, some 0.3 s.
+        // At most one VM in 25 at a time is wrong. Each of these does without the other data centres until it receives
+        // a message from one, about 0.3 s later.
         CHECK(worst * 25 <= row.data_centres * row.members);
     }
 }
--- a/Tests/LibDecision/TestPoisonRequestDetector.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -17,11 +17,11 @@
 
 constexpr int CRASH_THRESHOLD = static_cast<int>(PoisonRequestDetector::Options {}.crash_threshold);
 
-/// What operators put up with once a request was at so many ends.
+/// Further crashes that are acceptable once a request has reached the threshold.
 constexpr int MAXIMUM_EXTRA_CRASHES = 3;
 
 struct PoisonRequestTest {
-    /// An upstream crashes, each request having been there for so long.
+    /// Crashes an upstream that had been running each of the requests for the given time.
     void crash(std::vector<std::pair<std::string, Duration>> const& there)
     {
         auto const name = "i-" + std::to_string(this->crashes++);
@@ -102,7 +102,7 @@
         test.crash({ { "first", milliseconds(60) }, { "victim", milliseconds(200) } });
         test.crash({ { "second", milliseconds(90) }, { "victim", milliseconds(400) } });
     }
-    // The victim was at all six: it takes more ends to tell, while both causes go on.
+    // The innocent request was at all six crashes, so it takes more of them to tell the three apart.
     for (int i = 0; i < 4; ++i) {
         test.crash({ { "first", milliseconds(60) } });
         test.crash({ { "second", milliseconds(90) } });
@@ -123,7 +123,8 @@
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     CHECK(test.causes().empty());
-    // What changed since, such as the upstreams' software, may have made a cause of it.
+    // A change in the meantime, such as an update of the upstreams' software, may have turned the request into a poison
+    // request.
     test.now += PoisonRequestDetector::Options {}.completed.retention;
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
@@ -172,8 +173,10 @@
     CHECK(test.ledger.size() <= PoisonRequestDetector::Options {}.maximum_crashes);
 }
 
-// Engines as in the incident: nine of them, three reading prompts, so six to meet at; a request ends one about every third
-// of a second and each takes some seconds to be back. Whoever was there goes on at another engine, three times at most.
+// Simulates the engines of an incident: nine engines, three of which run prefills, leave six on which requests meet.
+// The poison request crashes an engine about every third of a second, and each engine takes seconds to restart.
+// Interrupted requests are retried on other engines up to three times, where they may meet the poison request again and
+// must not be blamed.
 TEST_CASE("Among many that go on elsewhere only the cause is found, and soon", "[crash-ledger]")
 {
     constexpr int ENGINES = 6;
@@ -201,7 +204,7 @@
                 if (victim.engine != ending)
                     continue;
                 there.emplace_back(victim.body, std::chrono::duration_cast<Duration>(test.now - victim.came));
-                // It meets the cause again at once more often than not, since few engines are left.
+                // As few engines are left, the request usually meets the poison request again right away.
                 victim.engine = static_cast<int>(random() % ENGINES);
                 victim.came = test.now + milliseconds(static_cast<std::int64_t>(random() % 150));
                 ++victim.moves;
--- a/Tests/LibDecision/TestQuarantine.cpp
+++ b/Tests/LibDecision/TestQuarantine.cpp
@@ -58,7 +58,7 @@
         std::shuffle(entries.begin(), entries.end(), random);
         for (auto const& entry : entries)
             second.merge(entry, NOW);
-        // What did not fit is told again.
+        // Entries that were evicted are sent again.
         for (auto const& entry : second.entries())
             first.merge(entry, NOW);
         for (auto const& entry : first.entries())
--- a/Tests/LibDecision/TestReachabilityTracker.cpp
+++ b/Tests/LibDecision/TestReachabilityTracker.cpp
@@ -63,7 +63,7 @@
     tracker.note_unreachable("b1", "b", at(100));
     CHECK(tracker.is_reachable("b3", "b", at(1000)));
     tracker.note_unreachable("b2", "b", at(150));
-    // One of it answered just now: two upstreams are away, and not their data centre.
+    // An upstream of the data centre responded recently, so only two upstreams are unreachable, not the data centre.
     CHECK(tracker.is_reachable("b3", "b", at(299)));
     CHECK_FALSE(tracker.is_reachable("b3", "b", at(300)));
     CHECK(tracker.is_cut_off("b", at(300)));
@@ -93,7 +93,7 @@
     CHECK_FALSE(tracker.is_reachable("b1", "b", at(100)));
     CHECK_FALSE(tracker.is_reachable("c1", "c", at(100)));
     CHECK(tracker.is_any_cut_off(at(100)));
-    // Each of the others has a scout, and one that answers tells for its data centre.
+    // Each of the other data centres is probed, and any upstream that responds makes its data centre reachable.
     CHECK(tracker.due_partition_probes(s_upstreams, at(100)).size() >= 1);
     tracker.note_reached("b1", "b", at(200));
     tracker.set_isolation(Isolation::OwnDataCentre, at(250));
@@ -113,7 +113,7 @@
     CHECK(tracker.is_reachable("b1", "b", at(1000)));
     CHECK_FALSE(tracker.is_cut_off("b", at(1000)));
     CHECK_FALSE(tracker.is_any_cut_off(at(1000)));
-    // The one that left counts no more: one other does not make a cut.
+    // The upstream that left no longer counts, and a single unreachable upstream does not make a partition.
     tracker.note_unreachable("b2", "b", at(1000));
     CHECK_FALSE(tracker.is_cut_off("b", at(2000)));
     tracker.note_unreachable("b3", "b", at(1000));
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -62,7 +62,7 @@
     options.remembered_removals = 2;
     UpstreamList list(options);
     list.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
-    // What came and went before the list was read is not known.
+    // Upstreams that were added and removed before the list was read are unknown.
     CHECK(list.listing_since(6).extent == UpstreamListing::Extent::Snapshot);
     for (std::int64_t version = 8; version < 11; ++version)
         list.apply({ "x" + std::to_string(version), {}, version }, at_milliseconds(version));
@@ -73,7 +73,7 @@
 
 TEST_CASE("Lists that were read at different positions have the same version", "[leaving]")
 {
-    // Otherwise each VM would ask the one that read last for what it has already.
+    // Otherwise each VM would request what it already has from the one that read the list last.
     UpstreamList one({});
     UpstreamList other({});
     one.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
@@ -84,7 +84,7 @@
 
 TEST_CASE("A whole list without entries is taken like any other", "[leaving]")
 {
-    // Otherwise it would be asked for again at each heartbeat.
+    // Otherwise the listing would be requested again with each heartbeat.
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
     list.take({ UpstreamListing::Extent::Snapshot, 8, {}, {} }, at_milliseconds(1));
@@ -151,7 +151,7 @@
             break;
         }
         case 2:
-            // Its own watch brings the next changes.
+            // The VM's own watch delivers the next changes.
             for (; heard[index] < version && below(4) != 0; ++heard[index])
                 vm.apply(history[static_cast<std::size_t>(heard[index])], at_milliseconds(step));
             break;
@@ -161,7 +161,7 @@
                 vm.take(on_the_way.back(), at_milliseconds(step));
             break;
         case 4:
-            // An answer that was meant for this VM comes late; one for another VM would not fit.
+            // A delayed response to a request of this VM. A delta requested by another VM would not apply.
             if (!on_the_way.empty() && on_the_way.back().version <= vm.version())
                 vm.take(on_the_way.back(), at_milliseconds(step));
             break;
@@ -232,11 +232,11 @@
     CHECK(watchers.size() == 3);
     for (auto const& name : watchers) {
         auto const plan = plan_of(all, name);
-        // The other watchers too: the registry may refuse one of them.
+        // This includes the other watchers, as the registry may refuse one of them.
         CHECK(plan.listeners().size() == 39);
         CHECK(std::count(plan.listeners().begin(), plan.listeners().end(), name) == 0);
     }
-    // Where one of them goes the other two stay.
+    // If one of them leaves, the other two remain watchers.
     auto fewer = all;
     std::erase(fewer, watchers[0]);
     auto const after = choose_watchers(fewer, 3);
@@ -251,7 +251,7 @@
     struct Row {
         std::string name;
         std::size_t rank;
-        /// How long after the last message it watches again.
+        /// Time after the last update at which it watches again.
         int silence;
     };
     auto const row = GENERATE(values<Row>({ { "the first stand-in", 3, 900 }, { "one behind the first stand-ins", 9, 1800 } }));
@@ -265,7 +265,7 @@
     CHECK_FALSE(plan.watches(at_milliseconds(1700)));
     CHECK_FALSE(plan.watches(at_milliseconds(2100 + row.silence - 1)));
     CHECK(plan.watches(at_milliseconds(2100 + row.silence)));
-    // A first message after the silence is no regular telling yet.
+    // A single update after the silence is not enough.
     plan.note_update(order[1], at_milliseconds(4500));
     CHECK(plan.watches(at_milliseconds(4600)));
     SECTION("one that becomes a watcher watches, whatever it is told")
@@ -303,15 +303,15 @@
             ++asked[plan.assigned_watcher()];
     }
     REQUIRE(asked.size() == 3);
-    // 57 over three: none has twice the share.
+    // 57 listeners on three watchers: none has twice its share.
     for (auto const& [watcher, count] : asked)
         CHECK(count < 38);
 }
 
 namespace {
 
-/// Data centres of VMs that follow a registry in virtual time, each by its WatchPlan: news come to those that watch
-/// with a call each, and to the others from these. Steps of 50 ms.
+/// Data centres of VMs that follow a registry in virtual time by their WatchPlan: each watching VM needs one call per
+/// change, and relays it to the others. Simulated in steps of 50 ms.
 class WatchedRegistry {
 public:
     WatchedRegistry(int data_centres, int virtual_machines)
@@ -365,7 +365,8 @@
     std::int64_t calls = 0;
 
 private:
-    /// As the follower does: a watch of 4 s that ends with news, pauses that double to the longest one.
+    /// Behaves like RegistryFollower: a watch of 4 s returns on a change, and after failures the delay doubles up to
+    /// the maximum.
     void watch(Machine& machine)
     {
         auto const time = at_milliseconds(this->now);
@@ -414,13 +415,14 @@
 
 }
 
-// Five data centres of 60 VMs each: if each VM asked for itself, a version would be 300 calls and ten seconds without the
-// registry 4,000.
+// Five data centres of 60 VMs each. If each VM polled by itself, one version would take 300 calls, and ten seconds of a
+// registry outage 4,000.
 TEST_CASE("Three hundred VMs follow a registry with few calls, whatever becomes of it", "[config][platform-down]")
 {
     WatchedRegistry registry(5, 60);
     registry.run(5000);
-    // The start: each VM for itself until the watchers told it; these then once more after a watch's time.
+    // On start, each VM watches until the watchers relay to it, and the watchers call once more when their first watch
+    // ends.
     CHECK(registry.calls <= 300 + 15);
     CHECK(registry.oldest() == 1);
     registry.calls = 0;
@@ -433,7 +435,7 @@
         }
         registry.run(registry.now + 400);
         CHECK(registry.oldest() == registry.version);
-        // One watcher of each data centre reads most of them, the other two a third.
+        // One watcher of each data centre reads most versions, and the other two a third of them.
         CHECK(registry.calls <= 20 * 5 + 7 * 10 + 2 * 15);
     }
     SECTION("upstreams that change five times a second")
@@ -443,7 +445,7 @@
             registry.run(registry.now + 200);
             CHECK(registry.oldest() >= registry.version - 3);
         }
-        // If each watcher read each change it would be 1,500.
+        // If each watcher read each change, there would be 1,500 calls.
         CHECK(registry.calls <= 5 * (50 + 2 * 20) + 15);
     }
     SECTION("calm")
--- a/Tests/LibDecision/TestRequestFingerprint.cpp
+++ b/Tests/LibDecision/TestRequestFingerprint.cpp
@@ -22,7 +22,7 @@
         RequestFingerprint::Parts { PARTS.method, PARTS.host, "/a/c", PARTS.account, PARTS.body },
         RequestFingerprint::Parts { PARTS.method, PARTS.host, PARTS.target, "roofers", PARTS.body },
         RequestFingerprint::Parts { PARTS.method, PARTS.host, PARTS.target, PARTS.account, "another" },
-        // The same bytes, divided in another way.
+        // The same bytes, divided differently.
         RequestFingerprint::Parts { PARTS.method, "h.example/a", "/b", PARTS.account, PARTS.body },
     };
     for (auto const& parts : others)
--- a/Tests/LibDecision/TestRouteTable.cpp
+++ b/Tests/LibDecision/TestRouteTable.cpp
@@ -28,7 +28,7 @@
     struct Case {
         std::string host;
         std::string target;
-        /// Empty where no route matches.
+        /// Empty if no route matches.
         std::string name;
     };
     auto const given = GENERATE(
--- a/Tests/LibDecision/TestSendAccounting.cpp
+++ b/Tests/LibDecision/TestSendAccounting.cpp
@@ -25,7 +25,7 @@
 
 SendAccounting::Send send_of(Step step) { return step == Step::Run ? SendAccounting::Send::Run : SendAccounting::Send::Prefill; }
 
-/// Sends one step where the budget has it; gives whether it was sent.
+/// Makes one send if the budget covers it, and returns whether it did.
 bool send(SendAccounting& ledger, Step step, std::int64_t now)
 {
     if (!ledger.try_charge(send_of(step), 1, at_milliseconds(now)))
@@ -37,7 +37,7 @@
     return true;
 }
 
-/// What arrived beyond the first, told by the sends themselves.
+/// Counts the arrivals after the first, from the sends alone.
 std::size_t extra_arrivals(std::vector<Step> const& sent)
 {
     auto const prompts_read = static_cast<std::size_t>(std::count(sent.begin(), sent.end(), Step::PromptRead));
@@ -47,7 +47,7 @@
 
 }
 
-// Each order in which six prefills and runs can end, with each budget from nothing to more than enough.
+// Covers each order in which six prefills and runs can end, with each budget from zero to more than sufficient.
 TEST_CASE("Whatever comes in which order, what arrives beyond the first is charged, and nothing else", "[retry-budget]")
 {
     constexpr std::array STEPS { Step::PromptRead, Step::PromptRefused, Step::Run };
--- a/Tests/LibDecision/TestStopPolicy.cpp
+++ b/Tests/LibDecision/TestStopPolicy.cpp
@@ -48,14 +48,14 @@
 {
     AnswerPace pace;
     CHECK_FALSE(pace.probable("engines", 1000, 4000, 0.6));
-    // Too little to tell, and times of nothing.
+    // Samples with too few tokens or without a duration are ignored.
     pace.note("engines", 7, seconds(1));
     pace.note("engines", 1000, Duration::zero());
     CHECK_FALSE(pace.probable("engines", 1000, 4000, 0.6));
     pace.note("engines", 1000, seconds(1));
     CHECK_FALSE(pace.probable("others", 1000, 4000, 0.6));
     CHECK(to_milliseconds(*pace.probable("engines", 1000, 4000, 0.6)) == 2155);
-    // Never beyond the longest, which alone counts where nothing is expected.
+    // The estimate never exceeds the maximum, which applies by itself if no length is expected.
     CHECK(to_milliseconds(*pace.probable("engines", 3000, 4000, 0.6)) == 4000);
     CHECK(to_milliseconds(*pace.probable("engines", 0, 4000, 0.6)) == 4000);
     CHECK(to_milliseconds(*pace.probable("engines", 1000, 0, 0.6)) == 2155);
@@ -64,8 +64,9 @@
     CHECK(to_milliseconds(*pace.probable("engines", 1000, 4000, 0.6)) > 3900);
 }
 
-// Rolling restarts of most VMs of a deployment: the balancer sends each stopping one callers for two more seconds. Lengths
-// are log-normal about what callers expect; 1 ms a token, a first event within 0.5 s, a grace time of 7.6 s.
+// Models rolling restarts of most VMs of a deployment, in which the load balancer sends clients to each stopping VM for
+// two more seconds. Stream lengths are log-normally distributed around the expected length, with 1 ms per token, a
+// first event within 0.5 s and a grace period of 7.6 s.
 TEST_CASE("Of the streams that stopping VMs take few are cut, and most are taken while there is time", "[planned-stop]")
 {
     std::mt19937_64 random(7);
@@ -96,6 +97,6 @@
     CHECK(by_third.taken == STREAMS);
     CHECK(by_third.cut > STREAMS / 5);
     CHECK(by_pace.cut * 20 < STREAMS);
-    // Their median is near what is left; the others are served elsewhere.
+    // The median length is close to the remaining time. The other streams are served elsewhere.
     CHECK(by_pace.taken * 4 > STREAMS);
 }
--- a/Tests/LibDecision/TestUpstreamLimitTable.cpp
+++ b/Tests/LibDecision/TestUpstreamLimitTable.cpp
@@ -19,7 +19,7 @@
     UpstreamLimitTable book;
     CHECK(book.take("i-1", { 5.3, at(100) }) == Change::InForce);
     CHECK(book.rate_of("i-1") == 5.3);
-    // Sent before the limit was heard of: its answer may have been made before.
+    // Sent before the limit was received, so the response may predate it.
     CHECK(book.take("i-1", { {}, at(90) }) == Change::None);
     CHECK(book.rate_of("i-1") == 5.3);
     CHECK(book.take("i-1", { {}, at(110) }) == Change::InForce);
--- a/Tests/LibDecision/TestUpstreamPacer.cpp
+++ b/Tests/LibDecision/TestUpstreamPacer.cpp
@@ -16,7 +16,7 @@
 
 MonotonicTime at(std::int64_t milliseconds_since) { return MonotonicTime(milliseconds(milliseconds_since)); }
 
-/// A request that would rather go elsewhere than wait.
+/// A request that prefers another upstream to waiting.
 UpstreamPacer::Ask impatient(double rate) { return { rate, {}, {} }; }
 
 }
@@ -24,17 +24,17 @@
 TEST_CASE("Turns at an upstream come one after the other, and are not saved up", "[upstream-limit]")
 {
     UpstreamPacer pacer;
-    // Another VM may just have let a request go.
+    // Another VM may just have granted a turn.
     CHECK(pacer.take(UPSTREAM, impatient(4), at(0)).outcome == Outcome::Denied);
     CHECK(pacer.take(UPSTREAM, impatient(4), at(250)).outcome == Outcome::Granted);
     auto const denied = pacer.take(UPSTREAM, impatient(4), at(300));
     CHECK(denied.outcome == Outcome::Denied);
     CHECK(denied.wait == milliseconds(200));
     CHECK(pacer.take(UPSTREAM, impatient(4), at(500)).outcome == Outcome::Granted);
-    // After ten idle seconds there is one turn, not forty.
+    // Ten idle seconds yield one turn, not forty.
     CHECK(pacer.take(UPSTREAM, impatient(4), at(10'500)).outcome == Outcome::Granted);
     CHECK(pacer.take(UPSTREAM, impatient(4), at(10'501)).outcome == Outcome::Denied);
-    // Another upstream has turns of its own.
+    // Each upstream has its own turns.
     pacer.take("i-2", impatient(4), at(10'500));
     CHECK(pacer.take("i-2", impatient(4), at(10'750)).outcome == Outcome::Granted);
 }
@@ -49,7 +49,7 @@
     auto const third = pacer.take(UPSTREAM, { 4, milliseconds(600), {} }, at(0));
     CHECK(third.outcome == Outcome::Denied);
     CHECK(third.wait == milliseconds(750));
-    // A turn that is not used is the next one's.
+    // A returned turn goes to the next request.
     pacer.return_turn(UPSTREAM, at(10));
     CHECK(pacer.take(UPSTREAM, { 4, milliseconds(600), {} }, at(10)).wait == milliseconds(490));
 }
@@ -61,7 +61,7 @@
     for (int i = 0; i < 4; ++i)
         told.push_back(pacer.take(UPSTREAM, { 4, {}, milliseconds(800) }, at(0)).wait);
     CHECK(told == std::vector<Duration> { milliseconds(250), milliseconds(500), milliseconds(750), milliseconds(1000) });
-    // The last one does not come, and keeps nobody from that time.
+    // The last client does not retry, so that time remains available.
     CHECK(pacer.take(UPSTREAM, { 4, {}, milliseconds(1200) }, at(0)).wait == milliseconds(1000));
 }
 
@@ -99,7 +99,7 @@
             most = std::max(most, static_cast<std::size_t>(std::lower_bound(first, sent.end(), *first + WINDOW) - first));
         CAPTURE(rate);
         CHECK(static_cast<double>(most) <= rate * to_seconds(WINDOW) + 1);
-        // What it allows is used where several times as much is asked for.
+        // If several times the limit is requested, the limit is fully used.
         double const asked_rate = 5000 / to_seconds(milliseconds(now));
         if (rate * 4 <= asked_rate)
             CHECK(static_cast<double>(sent.size()) >= 0.9 * rate * to_seconds(milliseconds(now)));
--- a/Tests/LibDecision/TestUpstreams.cpp
+++ b/Tests/LibDecision/TestUpstreams.cpp
@@ -42,7 +42,7 @@
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
     list.apply({ "a", record("a", UpstreamRecord::Life::Leaving), 2 }, at_milliseconds(10));
     REQUIRE_FALSE(list.takes_work("a"));
-    // Late news of the time before change nothing.
+    // A delayed earlier change is ignored.
     list.apply({ "a", record("a"), 1 }, at_milliseconds(20));
     REQUIRE_FALSE(list.takes_work("a"));
 }
@@ -58,7 +58,7 @@
     list.replace({}, 9, at_milliseconds(6000));
     REQUIRE(list.takes_work("a"));
     REQUIRE(list.listing_since(0).records.empty());
-    // One that had said that it leaves has left.
+    // The upstream had announced its departure.
     REQUIRE_FALSE(list.find("c"));
     list.apply({ "a", record("a"), 10 }, at_milliseconds(7000));
     REQUIRE_FALSE(list.advance(at_milliseconds(7700)));
@@ -74,7 +74,7 @@
     list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(1000));
     list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(2000));
     list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(9000));
-    // Told by a peer whose registry has just come back empty.
+    // From a peer whose registry has just recovered without any entries.
     list.replace({}, 5, at_milliseconds(9500));
     REQUIRE_FALSE(list.advance(at_milliseconds(20'000)));
     REQUIRE(list.takes_work("a"));
@@ -97,13 +97,13 @@
     SharedRetryBudget budget({ 0.2, 56, seconds(10), 1.0 });
     for (int i = 0; i < 100; ++i)
         budget.note_request(at_milliseconds(i));
-    // A fifth of 100 and an eighth of 56.
+    // A fifth of 100 requests and an eighth of the allowance of 56.
     int taken = 0;
     while (budget.try_take(1, 1.0 / 8, at_milliseconds(200)))
         ++taken;
     REQUIRE(taken == 27);
     REQUIRE_FALSE(budget.try_take(1, 1.0 / 8, at_milliseconds(9000)));
-    // Once the requests and the extra sends left the window, the allowance is there again.
+    // The allowance is available again once the requests and the extra sends have left the window.
     REQUIRE(budget.try_take(1, 1.0 / 8, at_milliseconds(10'300)));
 }
 
@@ -120,7 +120,7 @@
     fail(2);
     REQUIRE(selector.is_ejected("a", at_milliseconds(900)));
     REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(1100)));
-    // One bad trial leaves it out again, for twice as long.
+    // One failed trial ejects it again, for twice as long.
     fail(1100);
     REQUIRE(selector.is_ejected("a", at_milliseconds(3000)));
     REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3200)));
