--- a/Tests/LibDecision/TestEvacuationTable.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("Late news of an evacuation that is over does not bring it back", "[evacuation]")
+TEST_CASE("A delayed update does not revive an evacuation that is over", "[evacuation]")
 {
     EvacuationTable book;
     REQUIRE(book.take(change("a", 5)).size() == 1);
@@ -50,7 +50,7 @@
     CHECK(book.is_evacuated("a"));
 }
 
-TEST_CASE("A whole reading ends what is not in it, but for what was ordered after it", "[evacuation][platform-down]")
+TEST_CASE("A snapshot ends the evacuations that it lacks, except for later ones", "[evacuation][platform-down]")
 {
     EvacuationTable book;
     book.take(change("a", 5));
@@ -65,7 +65,7 @@
     CHECK_FALSE(book.is_evacuated("a"));
 }
 
-TEST_CASE("VMs that heard of evacuations in any order and from each other agree", "[evacuation][cut]")
+TEST_CASE("VMs that merge evacuation updates in any order and from each other converge", "[evacuation][cut]")
 {
     std::vector<EvacuationUpdate> news { change("a", 3), change("b", 4), whole(6, { { "b", 4, State::Ordered } }), change("a", 8), change("b", 9, State::Over), change("c", 10) };
     std::sort(news.begin(), news.end(), [](auto const& one, auto const& other) { return one.evacuations.size() < other.evacuations.size(); });
@@ -85,7 +85,7 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST_CASE("Upstreams of an evacuated data centre get nothing new until it is taken back", "[evacuation][leaving]")
+TEST_CASE("Upstreams of an evacuated data centre receive no new work until the evacuation ends", "[evacuation][leaving]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "at-a", record_in("a"), 1 }, at_milliseconds(0));
@@ -93,13 +93,13 @@
     list.take(change("a", 3));
     CHECK_FALSE(list.takes_work("at-a"));
     CHECK(list.takes_work("at-b"));
-    SECTION("An entry that changes or comes meanwhile is no exception")
+    SECTION("an entry that is changed or added during the evacuation")
     {
         list.apply({ "at-a", record_in("a"), 4 }, at_milliseconds(10));
         list.replace({ { "at-a", record_in("a"), 4 }, { "at-b", record_in("b"), 2 } }, 6, at_milliseconds(20));
         CHECK_FALSE(list.takes_work("at-a"));
     }
-    SECTION("Peers are told what it said itself, and judge on their own")
+    SECTION("peers receive the announced state and apply evacuations themselves")
     {
         UpstreamList peer({ milliseconds(1800) });
         peer.take(list.listing_since(0), at_milliseconds(10));
@@ -107,7 +107,7 @@
         peer.take(change("a", 3));
         CHECK_FALSE(peer.takes_work("at-a"));
     }
-    SECTION("Taken back, those take work that did not leave meanwhile")
+    SECTION("after the end, upstreams that did not leave accept work")
     {
         list.apply({ "at-b", record_in("b", UpstreamRecord::Life::Leaving), 4 }, at_milliseconds(10));
         list.take(change("b", 5));
@@ -116,7 +116,7 @@
         CHECK(list.takes_work("at-a"));
         CHECK_FALSE(list.takes_work("at-b"));
     }
-    SECTION("An entry that lapses while the registry is away is kept as any other")
+    SECTION("an entry that expires during a registry outage is retained")
     {
         list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(100));
         list.replace({}, 9, at_milliseconds(200));
--- a/Tests/LibDecision/TestLimits.cpp
+++ b/Tests/LibDecision/TestLimits.cpp
@@ -11,7 +11,7 @@
 using namespace Spurtide;
 using namespace Spurtide::Tests;
 
-TEST_CASE("A token bucket lets its burst through, then its rate")
+TEST_CASE("A token bucket permits its burst, then its rate")
 {
     TokenBucket bucket(10, 5, at_milliseconds(0));
     for (int i = 0; i < 5; ++i)
@@ -22,7 +22,7 @@
     CHECK(bucket.try_take(1, at_milliseconds(100)));
 }
 
-TEST_CASE("A token bucket never holds more than its burst, and a clock that stands adds nothing")
+TEST_CASE("A token bucket never holds more than its burst, and gains nothing while the clock stands still")
 {
     TokenBucket bucket(10, 2, at_milliseconds(0));
     CHECK(bucket.try_take(2, at_milliseconds(60'000)));
@@ -30,7 +30,7 @@
     CHECK_FALSE(bucket.try_take(1, at_milliseconds(0)));
 }
 
-TEST_CASE("Retries stay a share of the requests")
+TEST_CASE("Retries are limited to a fraction of the requests")
 {
     RetryBudget budget(0.1, 5);
     int retries = 0;
--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -133,7 +133,7 @@
 
 }
 
-TEST_CASE("VMs find each other, and a silent one is suspect, then dead, everywhere", "[held][kill]")
+TEST_CASE("VMs find each other, and an unresponsive VM is suspect, then dead, on all others", "[held][kill]")
 {
     for (int const count : { 2, 8, 13, 40, 100 }) {
         CAPTURE(count);
@@ -152,7 +152,7 @@
     }
 }
 
-TEST_CASE("Loss of a tenth of the messages declares nobody dead", "[held][cut]")
+TEST_CASE("Losing a tenth of the messages causes no VM to be declared dead", "[held][cut]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         for (int const count : { 13, 40 }) {
@@ -182,7 +182,7 @@
     CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
-TEST_CASE("A VM that wakes after it was declared dead is alive again everywhere", "[held][freeze][lapsed-lease]")
+TEST_CASE("A VM that resumes after it was declared dead is alive again on all others", "[held][freeze][lapsed-lease]")
 {
     Gossip gossip(13, 4);
     gossip.run(0, 20);
@@ -194,7 +194,7 @@
     CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
-TEST_CASE("The heartbeat's size does not grow with the data centre")
+TEST_CASE("The size of a heartbeat does not grow with the number of VMs")
 {
     for (int const count : { 13, 40, 100 }) {
         Gossip gossip(count, 3);
@@ -205,7 +205,7 @@
     }
 }
 
-TEST_CASE("An older record or digest changes nothing")
+TEST_CASE("An outdated record or digest is ignored")
 {
     MembershipTable table({}, record("vm-0"));
     auto newer = record("vm-1", 5);
@@ -221,7 +221,7 @@
     CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
-TEST_CASE("A suspicion is refuted by the VM's own raised version alone")
+TEST_CASE("Only the VM itself can refute a suspicion, with a higher version")
 {
     MembershipTable table({}, record("vm-0"));
     MembershipTable other({}, record("vm-1"));
@@ -238,7 +238,7 @@
     CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
-TEST_CASE("A VM that hears a newer record of itself outbids it")
+TEST_CASE("A VM that receives a newer record of itself supersedes it")
 {
     MembershipTable table({}, record("vm-0", 5));
     table.merge_digests(std::vector { MemberDigest { "vm-0", 7, 1000, MemberLiveness::Alive, 0 } }, at_milliseconds(0));
@@ -246,7 +246,7 @@
     CHECK(table.self().version == 1001);
 }
 
-TEST_CASE("Leaving is told by the VM itself and stays until it is gone", "[planned-stop]")
+TEST_CASE("Leaving is announced by the VM itself and lasts until it is gone", "[planned-stop]")
 {
     Gossip gossip(8, 5);
     gossip.run(0, 20);
@@ -344,7 +344,7 @@
 
 // All VMs of a large deployment restart together after a power failure. If each of the three seeds sent its list of 350
 // VMs to each VM, 55 MB would have to pass through three links of 2.5 MB/s.
-TEST_CASE("Hundreds of VMs that start together all know each other within a second and a half", "[kill][power]")
+TEST_CASE("Hundreds of VMs that start together all know each other within 1.5 seconds", "[kill][power]")
 {
     FleetStart fleet(350);
     fleet.run(300 + 1500);
@@ -357,7 +357,7 @@
     CHECK(usual < 300'000);
 }
 
-TEST_CASE("A peer tells what a VM lacks, asks for what it lacks itself, and tells nobody of the dead")
+TEST_CASE("A peer sends the records that a VM is missing, requests those it is missing itself, and omits dead VMs")
 {
     MembershipTable table(MembershipTable::Options {}, record("vm-0"));
     std::vector<MemberRecord> const known = { record("vm-1"), record("vm-2", 5), record("vm-3") };
@@ -419,7 +419,7 @@
 
 }
 
-TEST_CASE("Those who share something count VMs that fell silent, suspected or dead", "[retry-budget][quota][cut]")
+TEST_CASE("VMs that are suspect or dead keep their share of a common limit", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
     CHECK(test.table.count() == VirtualMachineCount { 4, 0 });
@@ -433,7 +433,7 @@
 }
 
 // Regions are partitioned from each other for an hour, and both sides go on serving.
-TEST_CASE("The VMs of a data centre that is silent as a whole count for as long as it is", "[retry-budget][quota][cut]")
+TEST_CASE("VMs of an unresponsive data centre are counted for as long as none of it responds", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
     test.lose({ "far-1", "far-2" }, seconds(3600));
@@ -444,7 +444,7 @@
     CHECK(test.table.count() == VirtualMachineCount { 3, 0 });
 }
 
-TEST_CASE("On a side that is cut off the others are missing before each of them is suspected", "[retry-budget][quota][cut]")
+TEST_CASE("On the isolated side of a partition the other VMs are missing before each of them is suspected", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
     CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
@@ -452,7 +452,7 @@
     CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
 }
 
-TEST_CASE("A VM that is lost in a data centre that answers is forgotten", "[kill]")
+TEST_CASE("A dead VM of a data centre that responds is forgotten", "[kill]")
 {
     TwoDataCentres test;
     test.lose({ "own-2", "far-1" }, seconds(200));
@@ -460,7 +460,7 @@
     CHECK_FALSE(test.table.find("own-2"));
 }
 
-TEST_CASE("A VM that left as planned is no loss, and one that comes back and is lost is", "[planned-stop]")
+TEST_CASE("A VM that left as planned is not missing, and one that returns and dies is", "[planned-stop]")
 {
     TwoDataCentres test;
     test.tell("far-1", MemberLiveness::Leaving, 1);
@@ -494,7 +494,7 @@
 
 }
 
-TEST_CASE("The VMs that one VM probes are as many among a thousand as among a hundred, and each is probed by some", "[fleet]")
+TEST_CASE("The number of VMs that a VM probes is independent of the number of VMs, and each is probed by some", "[fleet]")
 {
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
     auto tables = acquainted(count);
@@ -531,7 +531,7 @@
     }
 }
 
-TEST_CASE("Among three hundred a silent VM is dead everywhere as soon as among thirty", "[fleet][kill]")
+TEST_CASE("An unresponsive VM is dead on all others as soon among 300 VMs as among 30", "[fleet][kill]")
 {
     auto const count = GENERATE(30, 300);
     Gossip gossip(count, 11);
--- a/Tests/LibDecision/TestPartitionDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -10,7 +10,7 @@
 using namespace Spurtide;
 using namespace Spurtide::Tests;
 
-TEST_CASE("Several silent VMs and no word from elsewhere are a cut, fewer are not", "[cut]")
+TEST_CASE("Several unresponsive VMs and no message from elsewhere are a partition, fewer are not", "[cut]")
 {
     struct Row {
         std::string name;
@@ -37,7 +37,7 @@
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(row.silence + 5000)));
 }
 
-TEST_CASE("A VM that never heard of others knows of no cut")
+TEST_CASE("A VM that never received a message from elsewhere detects no partition")
 {
     PartitionDetector detector({});
     for (auto const* name : { "a", "b", "c", "a", "b", "c", "d" })
@@ -155,7 +155,7 @@
 
 // A data centre of 60 VMs is cut off from 240 others. Each VM receives a request every five seconds, so by failing
 // requests alone no VM would detect the partition before it heals.
-TEST_CASE("All VMs of a data centre that is cut off know it within two seconds, and all of them when it is over", "[cut]")
+TEST_CASE("All VMs of a data centre that is cut off detect it within two seconds, and also when it is over", "[cut]")
 {
     ProbingFleet fleet(5, 60, 0.05, 0.01, 11);
     fleet.run(5000);
@@ -173,7 +173,7 @@
     CHECK(fleet.flagged(false) <= were_cut / 20);
 }
 
-TEST_CASE("Dead VMs and lost messages are no cut", "[cut][kill]")
+TEST_CASE("Dead VMs and lost messages are not a partition", "[cut][kill]")
 {
     struct Row {
         std::string name;
--- a/Tests/LibDecision/TestPauseDetector.cpp
+++ b/Tests/LibDecision/TestPauseDetector.cpp
@@ -8,7 +8,7 @@
 using namespace Spurtide;
 using namespace Spurtide::Tests;
 
-TEST_CASE("A process that took no turn for long catches up for a moment", "[freeze]")
+TEST_CASE("A process whose event loop was paused catches up for a moment", "[freeze]")
 {
     struct Row {
         std::string name;
--- a/Tests/LibDecision/TestPoisonRequestDetector.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -47,7 +47,7 @@
 
 }
 
-TEST_CASE("Whoever was at three upstreams that ended is the cause", "[crash-ledger]")
+TEST_CASE("A request that was running on three crashed upstreams is the cause", "[crash-ledger]")
 {
     PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
@@ -59,20 +59,20 @@
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
-TEST_CASE("Who ran beside the cause is none, however often", "[crash-ledger]")
+TEST_CASE("A request that runs beside the poison request is not blamed, however often", "[crash-ledger]")
 {
     PoisonRequestTest test;
-    SECTION("one that the cause was met by more often")
+    SECTION("a request that meets the poison request often")
     {
         for (int i = 0; i < 4; ++i)
             test.crash({ { "cause", milliseconds(70) }, { i == 0 ? "other" : "victim", milliseconds(300) } });
     }
-    SECTION("one that was at the same ends, and had come there before it")
+    SECTION("a request that was at the same crashes, but arrived earlier")
     {
         for (int i = 0; i < 3; ++i)
             test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(100) } });
     }
-    SECTION("many")
+    SECTION("many requests")
     {
         for (int i = 0; i < 5; ++i)
             test.crash({ { "cause", milliseconds(70) }, { "a", milliseconds(200) }, { "b", milliseconds(500) }, { "c", seconds(2) } });
@@ -81,7 +81,7 @@
     CHECK_FALSE(test.causes() == Found { request_named("victim") });
 }
 
-TEST_CASE("What a known cause explains blames nobody else", "[crash-ledger]")
+TEST_CASE("Crashes explained by a known poison request blame no other request", "[crash-ledger]")
 {
     PoisonRequestTest test;
     auto const is_known = [](RequestFingerprint const& request) { return request == request_named("cause"); };
@@ -95,7 +95,7 @@
     CHECK(found.front().request == request_named("another"));
 }
 
-TEST_CASE("Two causes at a time are both found", "[crash-ledger]")
+TEST_CASE("Two concurrent poison requests are both found", "[crash-ledger]")
 {
     PoisonRequestTest test;
     for (int i = 0; i < 3; ++i) {
@@ -113,7 +113,7 @@
     CHECK(std::find(found.begin(), found.end(), request_named("victim")) == found.end());
 }
 
-TEST_CASE("A request that ended well is no cause of the ends before and shortly after", "[crash-ledger]")
+TEST_CASE("A request that completed is not blamed for earlier crashes or for ones shortly after", "[crash-ledger]")
 {
     PoisonRequestTest test;
     for (int i = 0; i < 3; ++i)
@@ -131,7 +131,7 @@
     CHECK(test.causes() == Found { request_named("sound") });
 }
 
-TEST_CASE("An end blames nobody until all VMs had time to tell who was there", "[crash-ledger]")
+TEST_CASE("A crash blames no request until all VMs had time to report", "[crash-ledger]")
 {
     PoisonRequestTest test;
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
@@ -146,7 +146,7 @@
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
-TEST_CASE("Two attempts at one upstream are one end, two lives under one name are two", "[crash-ledger]")
+TEST_CASE("Two attempts on one upstream count as one crash, two incarnations as two", "[crash-ledger]")
 {
     PoisonRequestTest test;
     auto const cause = request_named("cause");
@@ -160,7 +160,7 @@
     CHECK(test.causes() == Found { cause });
 }
 
-TEST_CASE("Ends are forgotten in time, and no more than a number is kept", "[crash-ledger]")
+TEST_CASE("Crashes expire, and their number is bounded", "[crash-ledger]")
 {
     PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
@@ -177,7 +177,7 @@
 // The poison request crashes an engine about every third of a second, and each engine takes seconds to restart.
 // Interrupted requests are retried on other engines up to three times, where they may meet the poison request again and
 // must not be blamed.
-TEST_CASE("Among many that go on elsewhere only the cause is found, and soon", "[crash-ledger]")
+TEST_CASE("Among many retried requests only the poison request is found, and soon", "[crash-ledger]")
 {
     constexpr int ENGINES = 6;
     constexpr int RUNS = 400;
--- a/Tests/LibDecision/TestQuarantine.cpp
+++ b/Tests/LibDecision/TestQuarantine.cpp
@@ -18,7 +18,7 @@
 
 }
 
-TEST_CASE("A request is kept out for an hour, then on probation, and each time for twice as long", "[quarantine]")
+TEST_CASE("A request is held for an hour, then on probation, and each time for twice as long", "[quarantine]")
 {
     Quarantine quarantine { Quarantine::Options {} };
     auto const request = request_number(1);
@@ -42,7 +42,7 @@
     CHECK(quarantine.digest() == 0);
 }
 
-TEST_CASE("VMs that took the same entries, in any order and more than once, keep the same", "[quarantine]")
+TEST_CASE("VMs that merge the same entries, in any order and repeatedly, converge", "[quarantine]")
 {
     for (unsigned seed = 0; seed < 200; ++seed) {
         std::mt19937 random(seed);
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("Entries that nobody can have written in earnest are not taken", "[quarantine]")
+TEST_CASE("Implausible entries are rejected", "[quarantine]")
 {
     constexpr auto LEAST = std::numeric_limits<std::int64_t>::min();
     constexpr auto MOST = std::numeric_limits<std::int64_t>::max();
--- a/Tests/LibDecision/TestReachabilityTracker.cpp
+++ b/Tests/LibDecision/TestReachabilityTracker.cpp
@@ -17,25 +17,25 @@
 
 }
 
-TEST_CASE("An upstream that leaves requests without any answer is probed, one that answers is not", "[cut]")
+TEST_CASE("An upstream that does not respond is probed, one that responds is not", "[cut]")
 {
     ReachabilityTracker tracker({}, "a");
     tracker.note_sent("a1", "a", at(0));
     CHECK(tracker.due_probes(at(299)).empty());
     CHECK(tracker.due_probes(at(300)) == std::vector<std::string> { "a1" });
-    SECTION("once in an interval")
+    SECTION("once per interval")
     {
         tracker.note_probe("a1", at(300));
         CHECK(tracker.due_probes(at(599)).empty());
         CHECK(contains(tracker.due_probes(at(600)), "a1"));
     }
-    SECTION("part of an answer counts")
+    SECTION("a partial response counts")
     {
         tracker.note_heard("a1", at(290));
         CHECK(tracker.due_probes(at(300)).empty());
         CHECK(contains(tracker.due_probes(at(590)), "a1"));
     }
-    SECTION("nothing waits")
+    SECTION("no requests in flight")
     {
         tracker.note_finished("a1");
         CHECK(tracker.due_probes(at(10'000)).empty());
@@ -43,7 +43,7 @@
     CHECK(tracker.is_reachable("a1", "a", at(300)));
 }
 
-TEST_CASE("What cannot be connected gets nothing until a probe comes through", "[cut][kill]")
+TEST_CASE("An unreachable upstream receives nothing until a probe succeeds", "[cut][kill]")
 {
     ReachabilityTracker tracker({}, "a");
     tracker.note_unreachable("a1", "a", at(0));
@@ -55,7 +55,7 @@
     CHECK(tracker.is_reachable("a1", "a", at(310)));
 }
 
-TEST_CASE("A data centre of which several are out of reach and none answers counts as cut off", "[cut]")
+TEST_CASE("A data centre counts as cut off if several upstreams are unreachable and none responds", "[cut]")
 {
     ReachabilityTracker tracker({}, "a");
     tracker.note_sent("b3", "b", at(0));
@@ -67,7 +67,7 @@
     CHECK(tracker.is_reachable("b3", "b", at(299)));
     CHECK_FALSE(tracker.is_reachable("b3", "b", at(300)));
     CHECK(tracker.is_cut_off("b", at(300)));
-    SECTION("another of it is probed too, and tells that it is back")
+    SECTION("another upstream of it is probed and detects that the partition is over")
     {
         CHECK(contains(tracker.due_probes(at(460)), "b3"));
         tracker.note_reached("b3", "b", at(470));
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("While no VM of another data centre answers only upstreams of the own one are reachable, and what answers is", "[cut]")
+TEST_CASE("While the data centre is isolated only its own upstreams are reachable, and any that responds", "[cut]")
 {
     using Isolation = ReachabilityTracker::Isolation;
     ReachabilityTracker tracker({}, "a");
@@ -104,7 +104,7 @@
     CHECK_FALSE(tracker.is_any_cut_off(at(400)));
 }
 
-TEST_CASE("Upstreams that left are forgotten, once nothing is in flight to them")
+TEST_CASE("Upstreams that left are forgotten once no requests to them are in flight")
 {
     ReachabilityTracker tracker({}, "a");
     tracker.note_unreachable("b1", "b", at(0));
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -42,7 +42,7 @@
 
 }
 
-TEST_CASE("A peer that lacks some changes is told these alone", "[leaving]")
+TEST_CASE("A peer that is missing some changes receives only these", "[leaving]")
 {
     UpstreamList list({});
     list.replace({ { "a", record("a"), 3 }, { "b", record("b"), 5 } }, 7, at_milliseconds(0));
@@ -56,7 +56,7 @@
     CHECK(listing.removed == std::vector<std::string> { "a" });
 }
 
-TEST_CASE("A peer whose list is older than the ends that are remembered is told the whole", "[leaving]")
+TEST_CASE("A peer whose list is older than the known removals receives a snapshot", "[leaving]")
 {
     UpstreamList::Options options;
     options.remembered_removals = 2;
@@ -71,7 +71,7 @@
     CHECK(list.listing_since(0).records.size() == 1);
 }
 
-TEST_CASE("Lists that were read at different positions have the same version", "[leaving]")
+TEST_CASE("Equal lists that were read at different positions have the same version", "[leaving]")
 {
     // Otherwise each VM would request what it already has from the one that read the list last.
     UpstreamList one({});
@@ -82,7 +82,7 @@
     CHECK(one.version() == 3);
 }
 
-TEST_CASE("A whole list without entries is taken like any other", "[leaving]")
+TEST_CASE("An empty snapshot is merged like any other", "[leaving]")
 {
     // Otherwise the listing would be requested again with each heartbeat.
     UpstreamList list({});
@@ -92,7 +92,7 @@
     CHECK(list.version() == 8);
 }
 
-TEST_CASE("News that come late bring nobody back", "[leaving]")
+TEST_CASE("A delayed update does not revive a removed upstream", "[leaving]")
 {
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
@@ -106,24 +106,24 @@
     CHECK(list.version() == 6);
 }
 
-TEST_CASE("An upstream that came back stays", "[leaving]")
+TEST_CASE("An upstream that was added again stays", "[leaving]")
 {
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
     list.apply({ "a", {}, 6 }, at_milliseconds(1));
-    SECTION("told by a peer")
+    SECTION("received from a peer")
     {
         UpstreamListing listing { UpstreamListing::Extent::Delta, 8, { record("a") }, {} };
         list.take(listing, at_milliseconds(2));
     }
-    SECTION("read with the whole list")
+    SECTION("read with a snapshot")
     {
         list.replace({ { "a", record("a"), 4 } }, 9, at_milliseconds(2));
     }
     CHECK(list.takes_work("a"));
 }
 
-TEST_CASE("VMs that tell each other changes in any order end with the registry's list", "[leaving][answer-lost]")
+TEST_CASE("VMs that exchange updates in any order converge to the registry's list", "[leaving][answer-lost]")
 {
     auto const seed = GENERATE(range(1U, 41U));
     std::mt19937 random(seed);
@@ -177,7 +177,7 @@
     }
 }
 
-TEST_CASE("What a peer knows is fetched where it does not come by itself", "[platform-down][config]")
+TEST_CASE("Newer state of a peer is fetched only if it does not arrive otherwise", "[platform-down][config]")
 {
     using Source = PeerFetchPolicy::LocalSource;
     struct Step {
@@ -220,7 +220,7 @@
     }
 }
 
-TEST_CASE("In a larger data centre a few VMs watch, and tell all others", "[config]")
+TEST_CASE("In a larger data centre a few VMs watch, and relay to all others", "[config]")
 {
     auto const all = names(40);
     std::vector<std::string> watchers;
@@ -244,7 +244,7 @@
     CHECK(std::count(after.begin(), after.end(), watchers[2]) == 1);
 }
 
-TEST_CASE("A VM watches until it is told regularly, and again when that ends", "[platform-down][freeze]")
+TEST_CASE("A VM watches until it receives regular updates, and again when they stop", "[platform-down][freeze]")
 {
     auto const all = names(10);
     auto const order = choose_watchers(all, all.size());
@@ -268,20 +268,20 @@
     // A single update after the silence is not enough.
     plan.note_update(order[1], at_milliseconds(4500));
     CHECK(plan.watches(at_milliseconds(4600)));
-    SECTION("one that becomes a watcher watches, whatever it is told")
+    SECTION("a VM that becomes a watcher watches regardless of updates")
     {
         plan.note_update(order[0], at_milliseconds(4900));
         plan.set_virtual_machines({ order[row.rank], order[0] });
         CHECK(plan.watches(at_milliseconds(5000)));
     }
-    SECTION("what stands behind it is not listened to, or both would stop")
+    SECTION("updates from a VM further back in the order are not relied on, or both would stop")
     {
         for (int at = 4900; at <= 8000; at += 400)
             plan.note_update("vm-that-is-not-listed", at_milliseconds(at));
         auto const behind = choose_watchers(std::vector<std::string> { order[row.rank], "vm-that-is-not-listed" }, 2);
         CHECK(plan.watches(at_milliseconds(8000)) == (behind[0] == order[row.rank]));
     }
-    SECTION("one that reaches nobody waits for nobody")
+    SECTION("a VM that reaches no other VM does not wait for updates")
     {
         plan.set_peer_reachability(WatchPlan::PeerReachability::None);
         for (int at = 4900; at <= 8100; at += 400)
@@ -292,7 +292,7 @@
     }
 }
 
-TEST_CASE("Each listener has one watcher that it asks for what is long, and each watcher has as many", "[config]")
+TEST_CASE("Each listener fetches large updates from one watcher, and the watchers share the load", "[config]")
 {
     auto const all = names(60);
     std::map<std::string, int> asked;
@@ -417,7 +417,7 @@
 
 // Five data centres of 60 VMs each. If each VM polled by itself, one version would take 300 calls, and ten seconds of a
 // registry outage 4,000.
-TEST_CASE("Three hundred VMs follow a registry with few calls, whatever becomes of it", "[config][platform-down]")
+TEST_CASE("Three hundred VMs follow a registry with few calls under all conditions", "[config][platform-down]")
 {
     WatchedRegistry registry(5, 60);
     registry.run(5000);
@@ -427,7 +427,7 @@
     CHECK(registry.oldest() == 1);
     registry.calls = 0;
 
-    SECTION("a storm of versions")
+    SECTION("a burst of versions")
     {
         for (int i = 0; i < 20; ++i) {
             ++registry.version;
@@ -448,12 +448,12 @@
         // If each watcher read each change, there would be 1,500 calls.
         CHECK(registry.calls <= 5 * (50 + 2 * 20) + 15);
     }
-    SECTION("calm")
+    SECTION("no changes")
     {
         registry.run(registry.now + 60'000);
         CHECK(registry.calls <= 15 * 16);
     }
-    SECTION("a registry that is away and comes back")
+    SECTION("a registry outage")
     {
         registry.is_down = true;
         registry.run(registry.now + 10'000);
@@ -463,7 +463,7 @@
         registry.run(registry.now + 900);
         CHECK(registry.oldest() == registry.version);
     }
-    SECTION("a registry that turns a third of the VMs away, all watchers of a data centre among them")
+    SECTION("a registry that refuses a third of the VMs, including all watchers of a data centre")
     {
         for (std::size_t i = 0; i < registry.machines.size(); ++i) {
             auto& machine = registry.machines[i];
@@ -479,7 +479,7 @@
         registry.run(registry.now + 500);
         CHECK(registry.oldest() == registry.version);
     }
-    SECTION("a watcher that freezes while it is relied on")
+    SECTION("watchers that are paused while others rely on them")
     {
         std::erase_if(registry.machines, [](auto const& machine) { return machine.plan.role() == WatchPlan::Role::Watcher && machine.data_centre == 1; });
         ++registry.version;
--- a/Tests/LibDecision/TestRequestFingerprint.cpp
+++ b/Tests/LibDecision/TestRequestFingerprint.cpp
@@ -12,7 +12,7 @@
 
 }
 
-TEST_CASE("A request has the same fingerprint each time that it comes, and another where any part differs", "[fingerprint]")
+TEST_CASE("A repeated request has the same fingerprint, and any different part changes it", "[fingerprint]")
 {
     auto const fingerprint = RequestFingerprint::of(PARTS);
     CHECK(RequestFingerprint::of(PARTS) == fingerprint);
@@ -29,7 +29,7 @@
         CHECK(RequestFingerprint::of(parts) != fingerprint);
 }
 
-TEST_CASE("A fingerprint comes back from its bytes and its text, and from nothing else", "[fingerprint]")
+TEST_CASE("A fingerprint is parsed from its bytes and its text, and from nothing else", "[fingerprint]")
 {
     auto const fingerprint = RequestFingerprint::of(PARTS);
     CHECK(RequestFingerprint::from_bytes(fingerprint.to_bytes()) == fingerprint);
--- a/Tests/LibDecision/TestRouteTable.cpp
+++ b/Tests/LibDecision/TestRouteTable.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST_CASE("A request takes the longest prefix of its host")
+TEST_CASE("A request is routed by the longest path prefix of its host")
 {
     RoutingConfiguration configuration;
     configuration.routes = { route("all", "a.example", "/"), route("one", "a.example", "/one/"), route("deep", "a.example", "/one/two/"), route("other", "b.example", "/only/") };
@@ -40,7 +40,7 @@
     REQUIRE((found ? found->name : "") == given.name);
 }
 
-TEST_CASE("A split sends each target its share")
+TEST_CASE("A weighted route sends each target its share")
 {
     Route split;
     split.targets = { { "old", 90 }, { "new", 10 } };
@@ -60,7 +60,7 @@
     REQUIRE(normalize_host("[::1]") == "[::1]");
 }
 
-TEST_CASE("What upstreams take of connections is shared among all VMs, the missing ones too", "[connections]")
+TEST_CASE("The connection limit of an upstream is shared among all VMs, including missing ones", "[connections]")
 {
     std::vector<ServiceTraits> services(2);
     services[0].maximum_connections = 360;
--- a/Tests/LibDecision/TestSendAccounting.cpp
+++ b/Tests/LibDecision/TestSendAccounting.cpp
@@ -48,7 +48,7 @@
 }
 
 // Covers each order in which six prefills and runs can end, with each budget from zero to more than sufficient.
-TEST_CASE("Whatever comes in which order, what arrives beyond the first is charged, and nothing else", "[retry-budget]")
+TEST_CASE("Exactly the arrivals beyond the first are charged, in any order of sends", "[retry-budget]")
 {
     constexpr std::array STEPS { Step::PromptRead, Step::PromptRefused, Step::Run };
     constexpr int LENGTH = 6;
@@ -72,7 +72,7 @@
     }
 }
 
-TEST_CASE("A prompt is read again only where the run behind it can be paid for", "[retry-budget]")
+TEST_CASE("A second prefill is sent only if the budget also covers the run that follows it", "[retry-budget]")
 {
     auto budget = budget_of(1);
     SendAccounting ledger(budget);
@@ -84,7 +84,7 @@
     REQUIRE(send(ledger, Step::Run, 3));
 }
 
-TEST_CASE("What was paid before it leaves counts within the window from when it leaves", "[retry-budget]")
+TEST_CASE("A charge counts within the window from when the send is made", "[retry-budget]")
 {
     auto budget = budget_of(1);
     SendAccounting ledger(budget);
@@ -95,7 +95,7 @@
     REQUIRE(extra_sends_in(budget, 11'600) == 0);
 }
 
-TEST_CASE("What is given back was taken by this request, and not lately by another", "[retry-budget]")
+TEST_CASE("A refund returns the charge of this request and not a recent one of another", "[retry-budget]")
 {
     auto budget = budget_of(2);
     SendAccounting early(budget);
--- a/Tests/LibDecision/TestStopPolicy.cpp
+++ b/Tests/LibDecision/TestStopPolicy.cpp
@@ -10,7 +10,7 @@
 
 using namespace Spurtide;
 
-TEST_CASE("A stopping VM takes only what will be over before it ends", "[planned-stop]")
+TEST_CASE("A stopping VM accepts only requests that will end before it exits", "[planned-stop]")
 {
     struct Case {
         RouteKind kind;
@@ -25,7 +25,7 @@
     REQUIRE(may_begin_before_stop(given.kind, { milliseconds(given.longest) }, { milliseconds(given.left), milliseconds(7600) }) == given.taken);
 }
 
-TEST_CASE("A stream begins on a stopping VM if nine in ten of its kind end before the VM does", "[planned-stop]")
+TEST_CASE("A stream begins on a stopping VM if nine in ten of its kind end before the VM exits", "[planned-stop]")
 {
     struct Row {
         std::string name;
@@ -44,7 +44,7 @@
     CHECK(may_begin_before_stop(RouteKind::Stream, { milliseconds(14'000), milliseconds(row.probable) }, { milliseconds(row.left), milliseconds(7600) }) == row.taken);
 }
 
-TEST_CASE("The time of nine in ten answers follows their pace and what is expected of them")
+TEST_CASE("The 90th percentile of durations follows their pace and the expected length")
 {
     AnswerPace pace;
     CHECK_FALSE(pace.probable("engines", 1000, 4000, 0.6));
@@ -67,7 +67,7 @@
 // Models rolling restarts of most VMs of a deployment, in which the load balancer sends clients to each stopping VM for
 // two more seconds. Stream lengths are log-normally distributed around the expected length, with 1 ms per token, a
 // first event within 0.5 s and a grace period of 7.6 s.
-TEST_CASE("Of the streams that stopping VMs take few are cut, and most are taken while there is time", "[planned-stop]")
+TEST_CASE("Few of the streams that stopping VMs accept are interrupted, and most are accepted while there is time", "[planned-stop]")
 {
     std::mt19937_64 random(7);
     std::lognormal_distribution<double> median(std::log(3500.0), 0.5);
--- a/Tests/LibDecision/TestUpstreamLimitTable.cpp
+++ b/Tests/LibDecision/TestUpstreamLimitTable.cpp
@@ -14,7 +14,7 @@
 
 }
 
-TEST_CASE("A limit holds until an answer to a later request names none", "[upstream-limit]")
+TEST_CASE("A limit holds until the response to a later request states none", "[upstream-limit]")
 {
     UpstreamLimitTable book;
     CHECK(book.take("i-1", { 5.3, at(100) }) == Change::InForce);
@@ -27,7 +27,7 @@
     CHECK(book.size() == 0);
 }
 
-TEST_CASE("The newest limit is in force, whichever is heard of last", "[upstream-limit]")
+TEST_CASE("The newest limit is in force, in whatever order limits arrive", "[upstream-limit]")
 {
     UpstreamLimitTable book;
     book.take("i-1", { 5.3, at(100) });
@@ -38,7 +38,7 @@
     CHECK(book.statement_of("i-1")->as_of == at(300));
 }
 
-TEST_CASE("Of upstreams that never named a limit nothing is kept", "[upstream-limit]")
+TEST_CASE("Nothing is stored for upstreams that never stated a limit", "[upstream-limit]")
 {
     UpstreamLimitTable book;
     CHECK(book.take("i-1", { {}, at(100) }) == Change::None);
@@ -49,7 +49,7 @@
     CHECK(book.size() == 0);
 }
 
-TEST_CASE("Books that know limits of the same upstreams have the same digest, whatever the limits are", "[upstream-limit]")
+TEST_CASE("Tables with limits of the same upstreams have the same digest, whatever the limits are", "[upstream-limit]")
 {
     UpstreamLimitTable one;
     UpstreamLimitTable other;
--- a/Tests/LibDecision/TestUpstreamPacer.cpp
+++ b/Tests/LibDecision/TestUpstreamPacer.cpp
@@ -21,7 +21,7 @@
 
 }
 
-TEST_CASE("Turns at an upstream come one after the other, and are not saved up", "[upstream-limit]")
+TEST_CASE("Turns of an upstream are spaced evenly and do not accumulate", "[upstream-limit]")
 {
     UpstreamPacer pacer;
     // Another VM may just have granted a turn.
@@ -39,7 +39,7 @@
     CHECK(pacer.take("i-2", impatient(4), at(10'750)).outcome == Outcome::Granted);
 }
 
-TEST_CASE("A request that can wait has its turn kept, the next one comes behind it", "[upstream-limit]")
+TEST_CASE("A request that can wait has its turn reserved, and the next one comes after it", "[upstream-limit]")
 {
     UpstreamPacer pacer;
     auto const first = pacer.take(UPSTREAM, { 4, milliseconds(600), {} }, at(0));
@@ -54,7 +54,7 @@
     CHECK(pacer.take(UPSTREAM, { 4, milliseconds(600), {} }, at(10)).wait == milliseconds(490));
 }
 
-TEST_CASE("Callers who are told to come back are told different times, as far as they can wait", "[upstream-limit]")
+TEST_CASE("Clients are told to retry at different times, as far as they can wait", "[upstream-limit]")
 {
     UpstreamPacer pacer;
     std::vector<Duration> told;
@@ -65,7 +65,7 @@
     CHECK(pacer.take(UPSTREAM, { 4, {}, milliseconds(1200) }, at(0)).wait == milliseconds(1000));
 }
 
-TEST_CASE("Under a higher limit turns come sooner, under a lower one later", "[upstream-limit]")
+TEST_CASE("A higher limit moves turns forward, a lower one delays them", "[upstream-limit]")
 {
     UpstreamPacer pacer;
     pacer.take(UPSTREAM, impatient(0.25), at(0));
@@ -78,7 +78,7 @@
     CHECK(pacer.take(UPSTREAM, impatient(4), at(20'000)).outcome == Outcome::Denied);
 }
 
-TEST_CASE("Whatever is asked, no more requests go to an upstream than its limit allows", "[upstream-limit]")
+TEST_CASE("The request rate of an upstream never exceeds its limit", "[upstream-limit]")
 {
     constexpr Duration WINDOW = seconds(4);
     std::mt19937 random(7);
--- a/Tests/LibDecision/TestUpstreams.cpp
+++ b/Tests/LibDecision/TestUpstreams.cpp
@@ -26,7 +26,7 @@
 
 }
 
-TEST_CASE("An entry that ends while the registry is well is gone at once", "[leaving]")
+TEST_CASE("An entry that ends while the registry is available is removed at once", "[leaving]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
@@ -36,7 +36,7 @@
     REQUIRE(list.size() == 0);
 }
 
-TEST_CASE("An upstream that leaves gets nothing new", "[leaving]")
+TEST_CASE("An upstream that leaves receives no new work", "[leaving]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
@@ -47,7 +47,7 @@
     REQUIRE_FALSE(list.takes_work("a"));
 }
 
-TEST_CASE("Entries that lapsed with the registry are kept until shortly after its return", "[leaving][platform-down]")
+TEST_CASE("Entries that expired during a registry outage are retained until shortly after it", "[leaving][platform-down]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
@@ -67,7 +67,7 @@
     REQUIRE_FALSE(list.takes_work("b"));
 }
 
-TEST_CASE("Entries that lapse during a second outage are not dropped by the first one's grace", "[leaving][platform-down]")
+TEST_CASE("Entries that expire during a second outage are not dropped by the grace period of the first", "[leaving][platform-down]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
@@ -83,7 +83,7 @@
     REQUIRE(list.advance(at_milliseconds(22'800)));
 }
 
-TEST_CASE("A list that is older than what is known changes nothing")
+TEST_CASE("A snapshot that is older than the known version is ignored")
 {
     UpstreamList list({ milliseconds(1800) });
     list.replace({ { "a", record("a"), 7 } }, 7, at_milliseconds(0));
@@ -107,7 +107,7 @@
     REQUIRE(budget.try_take(1, 1.0 / 8, at_milliseconds(10'300)));
 }
 
-TEST_CASE("Upstreams that fail in a row are left out for a doubling time, and one request tries them")
+TEST_CASE("Upstreams that fail repeatedly are ejected for a doubling time, then receive one trial request")
 {
     UpstreamSelector selector({ 3, milliseconds(1000), seconds(8) });
     auto const fail = [&](std::int64_t now) {
@@ -130,7 +130,7 @@
     REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3401)));
 }
 
-TEST_CASE("Most of a service is never left out")
+TEST_CASE("At most half of a service's upstreams are ejected")
 {
     UpstreamSelector selector({});
     for (auto const* name : { "a", "b" }) {
@@ -149,7 +149,7 @@
     REQUIRE(chosen.size() == 3);
 }
 
-TEST_CASE("The upstream with the least work is chosen, and a full one only when all are full")
+TEST_CASE("The least loaded upstream is selected, and a full one only if all are full")
 {
     UpstreamSelector selector({});
     selector.note_sent("a");
