--- a/Libraries/LibDecision/EvacuationTable.cpp
+++ b/Libraries/LibDecision/EvacuationTable.cpp
@@ -6,24 +6,24 @@
 
 namespace Spurtide {
 
-std::vector<Evacuation> EvacuationTable::take(EvacuationUpdate const& news)
+std::vector<Evacuation> EvacuationTable::merge(EvacuationUpdate const& update)
 {
-    auto told = news.evacuations;
-    if (news.extent == EvacuationUpdate::Extent::Snapshot) {
-        auto const is_listed = [&](std::string const& data_centre) { return std::any_of(news.evacuations.begin(), news.evacuations.end(), [&](auto const& other) { return other.data_centre == data_centre; }); };
+    auto received = update.evacuations;
+    if (update.extent == EvacuationUpdate::Extent::Snapshot) {
+        auto const is_listed = [&](std::string const& data_centre) { return std::any_of(update.evacuations.begin(), update.evacuations.end(), [&](auto const& other) { return other.data_centre == data_centre; }); };
         for (auto const& [data_centre, evacuation] : this->known) {
             if (evacuation.state == Evacuation::State::Ordered && !is_listed(data_centre))
-                told.push_back({ data_centre, news.position, Evacuation::State::Over });
+                received.push_back({ data_centre, update.position, Evacuation::State::Over });
         }
     }
     std::vector<Evacuation> changes;
-    for (auto const& evacuation : told) {
+    for (auto const& evacuation : received) {
         auto const found = this->known.find(evacuation.data_centre);
         if (found != this->known.end() && found->second.version >= evacuation.version)
             continue;
-        bool const is_news = found == this->known.end() || found->second.state != evacuation.state;
+        bool const is_changed = found == this->known.end() || found->second.state != evacuation.state;
         this->known.insert_or_assign(evacuation.data_centre, evacuation);
-        if (is_news)
+        if (is_changed)
             changes.push_back(evacuation);
     }
     return changes;
--- a/Libraries/LibDecision/EvacuationTable.h
+++ b/Libraries/LibDecision/EvacuationTable.h
@@ -43,7 +43,7 @@
 class EvacuationTable {
 public:
     /// Merges the update and returns the data centres whose state changed.
-    std::vector<Evacuation> take(EvacuationUpdate const& news);
+    std::vector<Evacuation> merge(EvacuationUpdate const& update);
 
     bool is_evacuated(std::string_view data_centre) const;
     /// Returns orders and tombstones, as they are sent to peers.
--- a/Libraries/LibDecision/UpstreamLimitTable.cpp
+++ b/Libraries/LibDecision/UpstreamLimitTable.cpp
@@ -7,7 +7,7 @@
 
 namespace Spurtide {
 
-UpstreamLimitTable::Change UpstreamLimitTable::take(std::string_view upstream, UpstreamLimitStatement const& statement)
+UpstreamLimitTable::Change UpstreamLimitTable::merge(std::string_view upstream, UpstreamLimitStatement const& statement)
 {
     auto const found = this->statements.find(upstream);
     if (found == this->statements.end()) {
--- a/Libraries/LibDecision/UpstreamLimitTable.h
+++ b/Libraries/LibDecision/UpstreamLimitTable.h
@@ -34,7 +34,7 @@
 
     /// Stores the statement unless a newer one is known. An upstream without a known limit that states none is not
     /// stored.
-    Change take(std::string_view upstream, UpstreamLimitStatement const& statement);
+    Change merge(std::string_view upstream, UpstreamLimitStatement const& statement);
 
     /// Returns the limit in force in requests per second, if there is one.
     std::optional<double> rate_of(std::string_view upstream) const;
--- a/Libraries/LibDecision/UpstreamList.cpp
+++ b/Libraries/LibDecision/UpstreamList.cpp
@@ -102,14 +102,14 @@
     this->removals_known_from = position;
 }
 
-UpstreamListing UpstreamList::listing_since(std::int64_t known) const
+UpstreamListing UpstreamList::listing_since(std::int64_t known_version) const
 {
     UpstreamListing listing;
     listing.version = this->current_version;
-    bool const knows_all_removals = known >= this->removals_known_from;
+    bool const knows_all_removals = known_version >= this->removals_known_from;
     listing.extent = knows_all_removals ? UpstreamListing::Extent::Delta : UpstreamListing::Extent::Snapshot;
     for (auto const& [identity, entry] : this->entries) {
-        if (entry.retained_until || (knows_all_removals && entry.version <= known))
+        if (entry.retained_until || (knows_all_removals && entry.version <= known_version))
             continue;
         listing.records.push_back(entry.record);
         listing.records.back().life = entry.announced_life;
@@ -118,13 +118,13 @@
     if (!knows_all_removals)
         return listing;
     for (auto const& [identity, version] : this->removals) {
-        if (version > known)
+        if (version > known_version)
             listing.removed.push_back(identity);
     }
     return listing;
 }
 
-void UpstreamList::take(UpstreamListing const& listing, MonotonicTime now)
+void UpstreamList::merge(UpstreamListing const& listing, MonotonicTime now)
 {
     std::vector<UpstreamChange> changes;
     changes.reserve(listing.records.size() + listing.removed.size());
@@ -146,9 +146,9 @@
     entry.record.life = this->evacuation_table.is_evacuated(entry.record.data_centre) ? UpstreamRecord::Life::Leaving : entry.announced_life;
 }
 
-std::vector<Evacuation> UpstreamList::take(EvacuationUpdate const& news)
+std::vector<Evacuation> UpstreamList::merge(EvacuationUpdate const& update)
 {
-    auto changes = this->evacuation_table.take(news);
+    auto changes = this->evacuation_table.merge(update);
     if (!changes.empty()) {
         for (auto& [identity, entry] : this->entries)
             this->update_life(entry);
--- a/Libraries/LibDecision/UpstreamList.h
+++ b/Libraries/LibDecision/UpstreamList.h
@@ -97,11 +97,11 @@
     /// version of its last change.
     void replace(std::vector<UpstreamChange> const& listed, std::int64_t position, MonotonicTime now);
     /// Returns what a peer with the given version is missing.
-    UpstreamListing listing_since(std::int64_t known) const;
+    UpstreamListing listing_since(std::int64_t known_version) const;
     /// Merges an update from a peer; outdated changes are ignored.
-    void take(UpstreamListing const& listing, MonotonicTime now);
+    void merge(UpstreamListing const& listing, MonotonicTime now);
     /// Merges the update and returns the evacuations whose state changed.
-    std::vector<Evacuation> take(EvacuationUpdate const& news);
+    std::vector<Evacuation> merge(EvacuationUpdate const& update);
     EvacuationTable const& evacuations() const { return this->evacuation_table; }
     /// Drops retained entries whose time is over. Returns whether there were any.
     bool advance(MonotonicTime now);
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -135,7 +135,7 @@
     if (listing.version <= before)
         return;
     LogLine("upstreams_from_peer").with("peer", source).with("version", listing.version).with("before", before).with("extent", listing.extent == UpstreamListing::Extent::Snapshot ? "whole" : "changes").with("count", static_cast<std::int64_t>(listing.records.size())).with("gone", static_cast<std::int64_t>(listing.removed.size()));
-    this->upstreams.take(listing, monotonic_now());
+    this->upstreams.merge(listing, monotonic_now());
     this->hooks.on_upstreams();
 }
 
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -28,7 +28,7 @@
 
 UpstreamLimitTable::Change UpstreamLimiter::note(std::string_view upstream, UpstreamLimitStatement const& statement)
 {
-    auto const change = this->book.take(upstream, statement);
+    auto const change = this->book.merge(upstream, statement);
     if (change == UpstreamLimitTable::Change::None)
         return change;
     auto const endpoint = this->ranking.present_endpoint(upstream);
--- a/Libraries/LibWire/WireUpstreamLimits.cpp
+++ b/Libraries/LibWire/WireUpstreamLimits.cpp
@@ -24,12 +24,12 @@
     UpstreamLimitStatement statement { {}, now - age };
     switch (message.kind()) {
     case wire::UPSTREAM_LIMIT_OVER:
-        return book.take(message.upstream(), statement);
+        return book.merge(message.upstream(), statement);
     case wire::UPSTREAM_LIMIT_NAMED:
         if (!std::isfinite(message.rate()) || message.rate() < 0)
             return UpstreamLimitTable::Change::None;
         statement.rate = message.rate();
-        return book.take(message.upstream(), statement);
+        return book.merge(message.upstream(), statement);
     default:
         return UpstreamLimitTable::Change::None;
     }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -369,7 +369,7 @@
 
 void Node::adopt_evacuations(EvacuationUpdate const& news, std::string_view source)
 {
-    auto const changes = this->state.upstreams.take(news);
+    auto const changes = this->state.upstreams.merge(news);
     if (changes.empty())
         return;
     for (auto const& change : changes) {
--- a/Tests/LibDecision/TestEvacuationTable.cpp
+++ b/Tests/LibDecision/TestEvacuationTable.cpp
@@ -37,32 +37,32 @@
 
 TEST_CASE("A delayed update does not revive an evacuation that is over", "[evacuation]")
 {
-    EvacuationTable book;
-    REQUIRE(book.take(change("a", 5)).size() == 1);
-    REQUIRE(book.take(change("a", 9, State::Over)).size() == 1);
-    CHECK(book.take(change("a", 5)).empty());
-    CHECK_FALSE(book.is_evacuated("a"));
+    EvacuationTable table;
+    REQUIRE(table.merge(change("a", 5)).size() == 1);
+    REQUIRE(table.merge(change("a", 9, State::Over)).size() == 1);
+    CHECK(table.merge(change("a", 5)).empty());
+    CHECK_FALSE(table.is_evacuated("a"));
     // The end arrives before the order.
-    CHECK(book.take(change("b", 8, State::Over)).size() == 1);
-    CHECK(book.take(change("b", 7)).empty());
-    CHECK_FALSE(book.is_evacuated("b"));
-    CHECK(book.take(change("a", 10)).size() == 1);
-    CHECK(book.is_evacuated("a"));
+    CHECK(table.merge(change("b", 8, State::Over)).size() == 1);
+    CHECK(table.merge(change("b", 7)).empty());
+    CHECK_FALSE(table.is_evacuated("b"));
+    CHECK(table.merge(change("a", 10)).size() == 1);
+    CHECK(table.is_evacuated("a"));
 }
 
 TEST_CASE("A snapshot ends the evacuations that it lacks, except for later ones", "[evacuation][platform-down]")
 {
-    EvacuationTable book;
-    book.take(change("a", 5));
-    book.take(change("b", 20));
-    auto const changes = book.take(whole(12, { { "c", 3, State::Ordered } }));
+    EvacuationTable table;
+    table.merge(change("a", 5));
+    table.merge(change("b", 20));
+    auto const changes = table.merge(whole(12, { { "c", 3, State::Ordered } }));
     CHECK(changes.size() == 2);
-    CHECK_FALSE(book.is_evacuated("a"));
-    CHECK(book.is_evacuated("b"));
-    CHECK(book.is_evacuated("c"));
+    CHECK_FALSE(table.is_evacuated("a"));
+    CHECK(table.is_evacuated("b"));
+    CHECK(table.is_evacuated("c"));
     // An earlier snapshot.
-    CHECK(book.take(whole(4, { { "c", 3, State::Ordered } })).empty());
-    CHECK_FALSE(book.is_evacuated("a"));
+    CHECK(table.merge(whole(4, { { "c", 3, State::Ordered } })).empty());
+    CHECK_FALSE(table.is_evacuated("a"));
 }
 
 TEST_CASE("VMs that merge evacuation updates in any order and from each other converge", "[evacuation][cut]")
@@ -71,15 +71,15 @@
     std::sort(news.begin(), news.end(), [](auto const& one, auto const& other) { return one.evacuations.size() < other.evacuations.size(); });
     EvacuationTable expected;
     for (auto const& one : { change("a", 8), change("b", 9, State::Over), change("c", 10) })
-        expected.take(one);
+        expected.merge(one);
     std::vector<std::size_t> order { 0, 1, 2, 3, 4, 5 };
     do {
         EvacuationTable here;
         EvacuationTable there;
         for (std::size_t i = 0; i < order.size(); ++i)
-            (i % 2 == 0 ? here : there).take(news[order[i]]);
-        here.take({ EvacuationUpdate::Extent::Delta, there.all(), 0 });
-        there.take({ EvacuationUpdate::Extent::Delta, here.all(), 0 });
+            (i % 2 == 0 ? here : there).merge(news[order[i]]);
+        here.merge({ EvacuationUpdate::Extent::Delta, there.all(), 0 });
+        there.merge({ EvacuationUpdate::Extent::Delta, here.all(), 0 });
         REQUIRE(here.all() == expected.all());
         REQUIRE(there.all() == expected.all());
     } while (std::next_permutation(order.begin(), order.end()));
@@ -90,7 +90,7 @@
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "at-a", record_in("a"), 1 }, at_milliseconds(0));
     list.apply({ "at-b", record_in("b"), 2 }, at_milliseconds(0));
-    list.take(change("a", 3));
+    list.merge(change("a", 3));
     CHECK_FALSE(list.takes_work("at-a"));
     CHECK(list.takes_work("at-b"));
     SECTION("an entry that is changed or added during the evacuation")
@@ -102,17 +102,17 @@
     SECTION("peers receive the announced state and apply evacuations themselves")
     {
         UpstreamList peer({ milliseconds(1800) });
-        peer.take(list.listing_since(0), at_milliseconds(10));
+        peer.merge(list.listing_since(0), at_milliseconds(10));
         CHECK(peer.takes_work("at-a"));
-        peer.take(change("a", 3));
+        peer.merge(change("a", 3));
         CHECK_FALSE(peer.takes_work("at-a"));
     }
     SECTION("after the end, upstreams that did not leave accept work")
     {
         list.apply({ "at-b", record_in("b", UpstreamRecord::Life::Leaving), 4 }, at_milliseconds(10));
-        list.take(change("b", 5));
-        list.take(change("a", 7, State::Over));
-        list.take(change("b", 8, State::Over));
+        list.merge(change("b", 5));
+        list.merge(change("a", 7, State::Over));
+        list.merge(change("b", 8, State::Over));
         CHECK(list.takes_work("at-a"));
         CHECK_FALSE(list.takes_work("at-b"));
     }
@@ -120,7 +120,7 @@
     {
         list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(100));
         list.replace({}, 9, at_milliseconds(200));
-        list.take(change("a", 10, State::Over));
+        list.merge(change("a", 10, State::Over));
         CHECK(list.takes_work("at-a"));
     }
 }
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -87,7 +87,7 @@
     // Otherwise the listing would be requested again with each heartbeat.
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
-    list.take({ UpstreamListing::Extent::Snapshot, 8, {}, {} }, at_milliseconds(1));
+    list.merge({ UpstreamListing::Extent::Snapshot, 8, {}, {} }, at_milliseconds(1));
     CHECK_FALSE(list.takes_work("a"));
     CHECK(list.version() == 8);
 }
@@ -101,7 +101,7 @@
     late.extent = UpstreamListing::Extent::Delta;
     late.version = 5;
     late.records.push_back(record("a"));
-    list.take(late, at_milliseconds(2));
+    list.merge(late, at_milliseconds(2));
     CHECK_FALSE(list.takes_work("a"));
     CHECK(list.version() == 6);
 }
@@ -114,7 +114,7 @@
     SECTION("received from a peer")
     {
         UpstreamListing listing { UpstreamListing::Extent::Delta, 8, { record("a") }, {} };
-        list.take(listing, at_milliseconds(2));
+        list.merge(listing, at_milliseconds(2));
     }
     SECTION("read with a snapshot")
     {
@@ -158,19 +158,19 @@
         case 3:
             on_the_way.push_back(vms[below(vms.size())].listing_since(vm.version()));
             if (below(2) == 0)
-                vm.take(on_the_way.back(), at_milliseconds(step));
+                vm.merge(on_the_way.back(), at_milliseconds(step));
             break;
         case 4:
             // A delayed response to a request of this VM. A delta requested by another VM would not apply.
             if (!on_the_way.empty() && on_the_way.back().version <= vm.version())
-                vm.take(on_the_way.back(), at_milliseconds(step));
+                vm.merge(on_the_way.back(), at_milliseconds(step));
             break;
         default:
             break;
         }
     }
     for (std::size_t i = 0; i < vms.size(); ++i) {
-        vms[i].take(truth.listing_since(vms[i].version()), at_milliseconds(1000));
+        vms[i].merge(truth.listing_since(vms[i].version()), at_milliseconds(1000));
         CAPTURE(seed, i, vms[i].version());
         CHECK(vms[i].version() == truth.version());
         CHECK(vms[i].records() == truth.records());
--- a/Tests/LibRouter/TestUpstreamLimiter.cpp
+++ b/Tests/LibRouter/TestUpstreamLimiter.cpp
@@ -181,10 +181,10 @@
     LimiterTest test;
     auto& one = *test.asking;
     auto& other = *test.counting;
-    one.book.take(UPSTREAM, { 0.5, monotonic_now() });
+    one.book.merge(UPSTREAM, { 0.5, monotonic_now() });
     other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return other.book.rate_of(UPSTREAM) == 0.5; }));
-    one.book.take(UPSTREAM, { {}, monotonic_now() });
+    one.book.merge(UPSTREAM, { {}, monotonic_now() });
     // One that has no limit may know that there is none any more.
     other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return !other.book.rate_of(UPSTREAM); }));
--- a/Tests/LibWire/TestWireUpstreamLimits.cpp
+++ b/Tests/LibWire/TestWireUpstreamLimits.cpp
@@ -17,13 +17,13 @@
 {
     UpstreamLimitTable here;
     UpstreamLimitTable there;
-    here.take("i-1", { 5.3, at(1000) });
+    here.merge("i-1", { 5.3, at(1000) });
     wire::UpstreamLimitStatement message;
     write_statement("i-1", here, at(1500), message);
     CHECK(take_statement(message, there, at(70'000)) == UpstreamLimitTable::Change::InForce);
     CHECK(there.rate_of("i-1") == 5.3);
     CHECK(there.statement_of("i-1")->as_of == at(69'500));
-    here.take("i-1", { {}, at(1600) });
+    here.merge("i-1", { {}, at(1600) });
     write_statement("i-1", here, at(1700), message);
     CHECK(take_statement(message, there, at(70'200)) == UpstreamLimitTable::Change::InForce);
     CHECK_FALSE(there.rate_of("i-1"));
--- a/Tests/Platform/PeerVirtualMachine.h
+++ b/Tests/Platform/PeerVirtualMachine.h
@@ -23,7 +23,7 @@
         options.heartbeat_interval = milliseconds(500);
         this->membership = std::make_unique<MembershipService>(
             options, *this->kernel, [] { return 0; }, [](auto const&, auto) {});
-        this->membership->set_evacuation_hooks([this]() -> EvacuationTable const& { return this->evacuations; }, [this](auto const& news) { this->evacuations.take(news); });
+        this->membership->set_evacuation_hooks([this]() -> EvacuationTable const& { return this->evacuations; }, [this](auto const& news) { this->evacuations.merge(news); });
         this->kernel->host("directory", [this](wire::Envelope const& request, Kernel::Responder const& respond) {
             if (request.has_heartbeat())
                 this->membership->handle_heartbeat(request.heartbeat(), respond);
--- a/Tests/Platform/TestEvacuation.cpp
+++ b/Tests/Platform/TestEvacuation.cpp
@@ -85,7 +85,7 @@
     test.beside = [&] { peer.run(); };
     REQUIRE(peer.is_seen_by(test));
     test.store.set_fault(StoreStandIn::Fault::Busy);
-    peer.evacuations.take({ EvacuationUpdate::Extent::Delta, { { "there", 900, Evacuation::State::Ordered } }, 0 });
+    peer.evacuations.merge({ EvacuationUpdate::Extent::Delta, { { "there", 900, Evacuation::State::Ordered } }, 0 });
     test.wait_for("i-6", UpstreamRecord::Life::Leaving);
     PeerVirtualMachine other(test, "vm-3");
     test.beside = [&] { other.run(); };
