--- a/Libraries/LibDecision/MembershipTable.cpp
+++ b/Libraries/LibDecision/MembershipTable.cpp
@@ -155,18 +155,18 @@
 std::vector<MemberDigest> MembershipTable::digests_for(std::string_view target)
 {
     std::vector<MemberDigest> digests = { digest_of(this->self()) };
-    auto const told = this->members.find(target);
-    if (told != this->members.end() && needs_refutation(told->second.record.liveness))
-        digests.push_back(digest_of(told->second.record));
-    std::vector<Member*> news;
+    auto const target_member = this->members.find(target);
+    if (target_member != this->members.end() && needs_refutation(target_member->second.record.liveness))
+        digests.push_back(digest_of(target_member->second.record));
+    std::vector<Member*> updates;
     for (auto& [name, member] : this->members) {
         if (member.remaining_transmissions > 0 && name != this->self_name && name != target)
-            news.push_back(&member);
+            updates.push_back(&member);
     }
     // The updates transmitted least often go first.
-    std::sort(news.begin(), news.end(), [](auto const* a, auto const* b) { return a->remaining_transmissions > b->remaining_transmissions; });
-    news.resize(std::min(news.size(), this->options.updates_per_message));
-    for (auto* member : news) {
+    std::sort(updates.begin(), updates.end(), [](auto const* a, auto const* b) { return a->remaining_transmissions > b->remaining_transmissions; });
+    updates.resize(std::min(updates.size(), this->options.updates_per_message));
+    for (auto* member : updates) {
         --member->remaining_transmissions;
         digests.push_back(digest_of(member->record));
     }
@@ -184,15 +184,15 @@
 }
 
 // Returns true if the full record has to be fetched.
-bool MembershipTable::take_digest(Member& member, MemberDigest const& digest, MonotonicTime now)
+bool MembershipTable::merge_digest(Member& member, MemberDigest const& digest, MonotonicTime now)
 {
     auto& record = member.record;
     record.configuration_generation = std::max(record.configuration_generation, digest.configuration_generation);
-    auto const told = std::make_pair(digest.incarnation, digest.version);
+    auto const received = std::make_pair(digest.incarnation, digest.version);
     auto const known = std::make_pair(record.incarnation, record.version);
-    if (told < known)
+    if (received < known)
         return false;
-    if (told > known)
+    if (received > known)
         return true;
     if (severity(digest.liveness) <= severity(record.liveness))
         return false;
@@ -218,7 +218,7 @@
                 wanted.push_back(digest.virtual_machine);
             continue;
         }
-        if (this->take_digest(found->second, digest, now))
+        if (this->merge_digest(found->second, digest, now))
             wanted.push_back(digest.virtual_machine);
     }
     return wanted;
@@ -262,23 +262,23 @@
 
 MembershipTable::Difference MembershipTable::compare_keys(std::string_view virtual_machine, std::span<std::uint64_t const> keys, std::size_t most) const
 {
-    std::unordered_set<std::uint64_t> told(keys.begin(), keys.end());
-    std::vector<MemberRecord const*> lacking;
+    std::unordered_set<std::uint64_t> peer_keys(keys.begin(), keys.end());
+    std::vector<MemberRecord const*> missing_members;
     for (auto const& [name, member] : this->members) {
-        bool const is_told = told.erase(member_key(member.record)) > 0;
-        if (!is_told && member.record.liveness != MemberLiveness::Dead && name != virtual_machine)
-            lacking.push_back(&member.record);
+        bool const is_known_to_peer = peer_keys.erase(member_key(member.record)) > 0;
+        if (!is_known_to_peer && member.record.liveness != MemberLiveness::Dead && name != virtual_machine)
+            missing_members.push_back(&member.record);
     }
-    if (lacking.size() > most) {
+    if (missing_members.size() > most) {
         auto const seed = hash_with_seed(virtual_machine, 0);
         auto const score = [&](MemberRecord const* record) { return hash_with_seed(record->virtual_machine, seed); };
-        std::nth_element(lacking.begin(), lacking.begin() + static_cast<std::ptrdiff_t>(most), lacking.end(), [&](auto const* one, auto const* other) { return score(one) < score(other); });
-        lacking.resize(most);
+        std::nth_element(missing_members.begin(), missing_members.begin() + static_cast<std::ptrdiff_t>(most), missing_members.end(), [&](auto const* one, auto const* other) { return score(one) < score(other); });
+        missing_members.resize(most);
     }
     Difference difference;
-    for (auto const* record : lacking)
+    for (auto const* record : missing_members)
         difference.missing_records.push_back(*record);
-    difference.unknown_keys.assign(told.begin(), told.end());
+    difference.unknown_keys.assign(peer_keys.begin(), peer_keys.end());
     return difference;
 }
 
--- a/Libraries/LibDecision/MembershipTable.h
+++ b/Libraries/LibDecision/MembershipTable.h
@@ -176,7 +176,7 @@
     void note_change(Member& member, MonotonicTime now);
     void set_liveness(Member& member, MemberLiveness liveness, MonotonicTime now);
     void refute(std::int64_t incarnation, std::int64_t version);
-    bool take_digest(Member& member, MemberDigest const& digest, MonotonicTime now);
+    bool merge_digest(Member& member, MemberDigest const& digest, MonotonicTime now);
 
     Options options;
     std::string self_name;
