--- a/Libraries/LibDecision/PartitionDetector.h
+++ b/Libraries/LibDecision/PartitionDetector.h
@@ -35,9 +35,9 @@
     }
 
     /// Records a message from a VM of another data centre.
-    void note_heard(MonotonicTime now)
+    void note_message(MonotonicTime now)
     {
-        this->last_heard = now;
+        this->last_message = now;
         this->failed_probes = 0;
         this->failed_virtual_machines.clear();
     }
@@ -53,14 +53,14 @@
     /// Returns false until the first message from elsewhere: a VM that has just started cannot detect a partition.
     bool is_cut_off(MonotonicTime now) const
     {
-        if (!this->last_heard || now - *this->last_heard < this->options.silence)
+        if (!this->last_message || now - *this->last_message < this->options.silence)
             return false;
         return this->failed_probes >= this->options.minimum_failed_probes && this->failed_virtual_machines.size() >= this->required_virtual_machines;
     }
 
 private:
     Options options;
-    std::optional<MonotonicTime> last_heard;
+    std::optional<MonotonicTime> last_message;
     std::size_t failed_probes = 0;
     std::size_t required_virtual_machines = 0;
     std::set<std::string, std::less<>> failed_virtual_machines;
--- a/Libraries/LibDecision/ReachabilityTracker.cpp
+++ b/Libraries/LibDecision/ReachabilityTracker.cpp
@@ -33,7 +33,7 @@
         --unreachable;
 }
 
-void ReachabilityTracker::note_heard(std::string_view identity, MonotonicTime now)
+void ReachabilityTracker::note_response(std::string_view identity, MonotonicTime now)
 {
     auto const found = this->entries.find(identity);
     if (found == this->entries.end())
@@ -59,7 +59,7 @@
     auto const found = this->entries.find(identity);
     if (found != this->entries.end())
         this->set_reachability(found->second, Reachability::Reachable);
-    this->data_centres[std::string(data_centre)].last_heard = now;
+    this->data_centres[std::string(data_centre)].last_response = now;
 }
 
 void ReachabilityTracker::note_unreachable(std::string_view identity, std::string_view data_centre, MonotonicTime now)
@@ -75,13 +75,13 @@
     if (data_centre == this->own_data_centre)
         return false;
     auto const found = this->data_centres.find(data_centre);
-    bool const has_answered = found != this->data_centres.end() && found->second.last_heard && this->isolated_since && *found->second.last_heard >= *this->isolated_since;
+    bool const has_answered = found != this->data_centres.end() && found->second.last_response && this->isolated_since && *found->second.last_response >= *this->isolated_since;
     if (this->isolated_since && !has_answered)
         return true;
     if (found == this->data_centres.end() || found->second.unreachable < this->options.data_centre_failures)
         return false;
-    auto const& heard = found->second.last_heard;
-    return !heard || now - *heard >= this->options.data_centre_silence;
+    auto const& last = found->second.last_response;
+    return !last || now - *last >= this->options.data_centre_silence;
 }
 
 void ReachabilityTracker::set_isolation(Isolation isolation, MonotonicTime now)
--- a/Libraries/LibDecision/ReachabilityTracker.h
+++ b/Libraries/LibDecision/ReachabilityTracker.h
@@ -47,7 +47,7 @@
 
     void note_sent(std::string_view identity, std::string_view data_centre, MonotonicTime now);
     /// Records that the upstream sent something, such as a part of a response.
-    void note_heard(std::string_view identity, MonotonicTime now);
+    void note_response(std::string_view identity, MonotonicTime now);
     /// Records the end of a request to the upstream, whatever its outcome.
     void note_finished(std::string_view identity);
 
@@ -91,7 +91,7 @@
     };
 
     struct DataCentre {
-        std::optional<MonotonicTime> last_heard;
+        std::optional<MonotonicTime> last_response;
         std::size_t unreachable = 0;
     };
 
--- a/Libraries/LibRouter/UpstreamUse.cpp
+++ b/Libraries/LibRouter/UpstreamUse.cpp
@@ -27,7 +27,7 @@
 
 void UpstreamUse::note_heard()
 {
-    this->tracker->note_heard(this->record.identity, monotonic_now());
+    this->tracker->note_response(this->record.identity, monotonic_now());
 }
 
 }
--- a/Services/ConfigServer/MembershipService.cpp
+++ b/Services/ConfigServer/MembershipService.cpp
@@ -93,7 +93,7 @@
 {
     auto const member = this->table.find(virtual_machine);
     if (member && this->is_elsewhere(*member))
-        this->partition_detector.note_heard(monotonic_now());
+        this->partition_detector.note_message(monotonic_now());
     auto const now = monotonic_now();
     // What it knows of the others may be as old as its solitude.
     if (this->last_heard && !this->has_company())
--- a/Tests/LibDecision/TestPartitionDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -29,11 +29,11 @@
     }));
     CAPTURE(row.name);
     PartitionDetector detector({});
-    detector.note_heard(at_milliseconds(0));
+    detector.note_message(at_milliseconds(0));
     for (auto const& name : row.unanswered)
         detector.note_probe_failure(name, row.known_elsewhere);
     CHECK(detector.is_cut_off(at_milliseconds(row.silence)) == row.is_cut);
-    detector.note_heard(at_milliseconds(row.silence));
+    detector.note_message(at_milliseconds(row.silence));
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(row.silence + 5000)));
 }
 
@@ -62,7 +62,7 @@
         for (std::size_t i = 0; i < this->detectors.size(); ++i) {
             this->offset[i] = static_cast<std::int64_t>(this->random() % 50) * 10;
             this->is_dead[i] = this->chance(dead);
-            this->detectors[i].note_heard(at_milliseconds(0));
+            this->detectors[i].note_message(at_milliseconds(0));
         }
     }
 
@@ -129,10 +129,10 @@
         bool const is_parted = is_elsewhere && (this->centre(from) == this->cut || this->centre(to) == this->cut);
         bool const arrives = !is_parted && !this->is_dead[to] && !this->chance(this->loss);
         if (arrives && is_elsewhere)
-            this->detectors[to].note_heard(at_milliseconds(this->now));
+            this->detectors[to].note_message(at_milliseconds(this->now));
         if (arrives && !this->chance(this->loss)) {
             if (is_elsewhere)
-                this->detectors[from].note_heard(at_milliseconds(this->now));
+                this->detectors[from].note_message(at_milliseconds(this->now));
             return;
         }
         if (is_elsewhere)
--- a/Tests/LibDecision/TestReachabilityTracker.cpp
+++ b/Tests/LibDecision/TestReachabilityTracker.cpp
@@ -31,7 +31,7 @@
     }
     SECTION("a partial response counts")
     {
-        tracker.note_heard("a1", at(290));
+        tracker.note_response("a1", at(290));
         CHECK(tracker.due_probes(at(300)).empty());
         CHECK(contains(tracker.due_probes(at(590)), "a1"));
     }
@@ -59,7 +59,7 @@
 {
     ReachabilityTracker tracker({}, "a");
     tracker.note_sent("b3", "b", at(0));
-    tracker.note_heard("b3", at(0));
+    tracker.note_response("b3", at(0));
     tracker.note_unreachable("b1", "b", at(100));
     CHECK(tracker.is_reachable("b3", "b", at(1000)));
     tracker.note_unreachable("b2", "b", at(150));
