--- a/Libraries/LibDecision/PoisonRequestDetector.cpp
+++ b/Libraries/LibDecision/PoisonRequestDetector.cpp
@@ -38,9 +38,9 @@
     return static_cast<std::size_t>(std::count_if(this->crashes.begin(), this->crashes.end(), was_there)) >= this->options.crash_threshold;
 }
 
-bool PoisonRequestDetector::is_settled(RequestFingerprint const& request, MonotonicTime now) const
+bool PoisonRequestDetector::is_fully_reported(RequestFingerprint const& request, MonotonicTime now) const
 {
-    return std::all_of(this->crashes.begin(), this->crashes.end(), [&](auto const& crash) { return !crash.second.requests.contains(request) || this->has_settled(crash.second, now); });
+    return std::all_of(this->crashes.begin(), this->crashes.end(), [&](auto const& crash) { return !crash.second.requests.contains(request) || this->has_all_reports(crash.second, now); });
 }
 
 std::vector<PoisonRequestDetector::PoisonRequest> PoisonRequestDetector::find_poison_requests(std::function<bool(RequestFingerprint const&)> const& is_known, MonotonicTime now) const
@@ -48,7 +48,7 @@
     std::vector<Crash const*> unexplained;
     for (auto const& [upstream, crash] : this->crashes) {
         bool const is_explained = std::any_of(crash.requests.begin(), crash.requests.end(), [&](auto const& request) { return is_known(request.first); });
-        if (!is_explained && this->has_settled(crash, now))
+        if (!is_explained && this->has_all_reports(crash, now))
             unexplained.push_back(&crash);
     }
     std::vector<PoisonRequest> causes;
--- a/Libraries/LibDecision/PoisonRequestDetector.h
+++ b/Libraries/LibDecision/PoisonRequestDetector.h
@@ -69,7 +69,7 @@
     /// Whether the request was present at enough crashes to be poison, unless another request explains them.
     bool is_suspect(RequestFingerprint const& request) const;
     /// Whether all VMs have reported the crashes at which the request was present.
-    bool is_settled(RequestFingerprint const& request, MonotonicTime now) const;
+    bool is_fully_reported(RequestFingerprint const& request, MonotonicTime now) const;
 
     struct PoisonRequest {
         RequestFingerprint request;
@@ -95,7 +95,7 @@
 
     /// Returns nothing if no request was present at enough of the crashes, or if two candidates cannot be told apart.
     std::optional<PoisonRequest> most_likely(std::span<Crash const* const> unexplained) const;
-    bool has_settled(Crash const& crash, MonotonicTime now) const { return now - crash.first_report >= this->options.report_delay; }
+    bool has_all_reports(Crash const& crash, MonotonicTime now) const { return now - crash.first_report >= this->options.report_delay; }
     void forget_old(MonotonicTime now);
 
     Options options;
--- a/Libraries/LibRouter/CrashAnalyzer.cpp
+++ b/Libraries/LibRouter/CrashAnalyzer.cpp
@@ -35,7 +35,7 @@
 {
     if (now >= who.until || this->is_quarantined(who.request))
         return false;
-    bool const may_be_cause = this->ledger.is_suspect(who.request) && !this->ledger.is_settled(who.request, now);
+    bool const may_be_cause = this->ledger.is_suspect(who.request) && !this->ledger.is_fully_reported(who.request, now);
     return may_be_cause || !this->quarantine.has_asked_store();
 }
 
--- a/Tests/LibDecision/TestPoisonRequestDetector.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -138,11 +138,11 @@
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
     test.ledger.note_crash(request_named("victim"), { "i-9", 0 }, milliseconds(300), test.now);
     CHECK(test.causes().empty());
-    CHECK_FALSE(test.ledger.is_settled(request_named("victim"), test.now));
+    CHECK_FALSE(test.ledger.is_fully_reported(request_named("victim"), test.now));
     test.now += milliseconds(5);
     test.ledger.note_crash(request_named("cause"), { "i-9", 0 }, milliseconds(70), test.now);
     test.now += PoisonRequestDetector::Options {}.report_delay;
-    CHECK(test.ledger.is_settled(request_named("victim"), test.now));
+    CHECK(test.ledger.is_fully_reported(request_named("victim"), test.now));
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
