--- a/Libraries/LibDecision/StopPolicy.h
+++ b/Libraries/LibDecision/StopPolicy.h
@@ -18,11 +18,11 @@
 };
 
 /// The expected duration of a request, as far as it is known in advance.
-struct ExpectedTime {
+struct ExpectedDuration {
     /// The timeout of the request.
     Duration maximum {};
     /// The 90th percentile of similar requests; empty if there is no data.
-    std::optional<Duration> probable {};
+    std::optional<Duration> percentile_90 {};
 };
 
 /// Whether a request that begins now is expected to end before the process exits. A stopping VM still receives clients
@@ -30,12 +30,12 @@
 /// probably end in time: one that is interrupted is lost, while one that is refused at once is served elsewhere. If no
 /// durations are known, streams are accepted during the first third of the stop. Other requests have to end within
 /// their timeout.
-inline bool may_begin_before_stop(RouteKind kind, ExpectedTime expected, StopProgress stop)
+inline bool may_begin_before_stop(RouteKind kind, ExpectedDuration expected, StopProgress stop)
 {
     if (kind != RouteKind::Stream)
         return stop.remaining >= expected.maximum;
-    if (expected.probable)
-        return stop.remaining >= *expected.probable;
+    if (expected.percentile_90)
+        return stop.remaining >= *expected.percentile_90;
     return stop.remaining * 3 >= stop.total * 2;
 }
 
--- a/Libraries/LibRouter/Entry.cpp
+++ b/Libraries/LibRouter/Entry.cpp
@@ -63,16 +63,16 @@
     co_await flow->run();
 }
 
-ExpectedTime Entry::expected_time(Route const& route, CallerRequest const& request) const
+ExpectedDuration Entry::expected_time(Route const& route, CallerRequest const& request) const
 {
-    ExpectedTime expected;
+    ExpectedDuration expected;
     expected.maximum = std::min(route.timeout, request.patience);
     if (!request.prompt || route.targets.empty())
         return expected;
     auto const& prompt = *request.prompt;
     auto const answer = this->state.answer_pace.probable(route.targets.front().service, prompt.expected_output_tokens, prompt.maximum_output_tokens, this->state.length_spread);
     if (answer)
-        expected.probable = route.latency_target + *answer;
+        expected.percentile_90 = route.latency_target + *answer;
     return expected;
 }
 
--- a/Libraries/LibRouter/Entry.h
+++ b/Libraries/LibRouter/Entry.h
@@ -19,7 +19,7 @@
     asio::awaitable<void> handle(HttpExchange& exchange);
 
 private:
-    ExpectedTime expected_time(Route const& route, CallerRequest const& request) const;
+    ExpectedDuration expected_time(Route const& route, CallerRequest const& request) const;
     asio::awaitable<void> answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier);
 
     RouterState& state;
--- a/Tests/LibDecision/TestStopPolicy.cpp
+++ b/Tests/LibDecision/TestStopPolicy.cpp
@@ -85,7 +85,7 @@
         auto const expected = median(random);
         auto const ends_after = milliseconds(500 + static_cast<std::int64_t>(std::min(expected * error(random), 11'000.0)));
         auto const left = milliseconds(7600 - i % 2000);
-        auto const count = [&](ExpectedTime time, Count& counted) {
+        auto const count = [&](ExpectedDuration time, Count& counted) {
             if (!may_begin_before_stop(RouteKind::Stream, time, { left, milliseconds(7600) }))
                 return;
             ++counted.taken;
