--- a/Libraries/LibDecision/Quarantine.h
+++ b/Libraries/LibDecision/Quarantine.h
@@ -60,7 +60,7 @@
     MergeResult merge(QuarantineEntry const& entry, std::int64_t unix_milliseconds);
 
     void forget_old(std::int64_t unix_milliseconds);
-    std::size_t size() const { return this->held.size(); }
+    std::size_t size() const { return this->holds.size(); }
     std::vector<QuarantineEntry> entries() const;
     /// Equal for equal sets of entries; 0 if there are none.
     std::uint64_t digest() const;
@@ -70,7 +70,7 @@
     void evict_to_capacity();
 
     Options options;
-    std::map<RequestFingerprint, QuarantineEntry> held;
+    std::map<RequestFingerprint, QuarantineEntry> holds;
 };
 
 }
--- a/Libraries/LibDecision/RouteTable.h
+++ b/Libraries/LibDecision/RouteTable.h
@@ -44,7 +44,7 @@
     /// Latency objective for the response, or for the first event of a stream.
     Duration latency_target = seconds(1);
     /// Objective for the longest gap between two events of a stream; zero if there is none.
-    Duration pause_target {};
+    Duration event_gap_target {};
     /// How long clients wait for the first event of a stream before they disconnect.
     Duration first_event_patience = seconds(30);
     /// 0 is the highest priority.
--- a/Libraries/LibDecision/WatchPlan.cpp
+++ b/Libraries/LibDecision/WatchPlan.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::string_view RENDEZVOUS = "registry-watch";
+constexpr std::string_view RENDEZVOUS_KEY = "registry-watch";
 
 }
 
 std::vector<std::string> choose_watchers(std::span<std::string const> virtual_machines, std::size_t count)
 {
     std::vector<std::string> chosen(virtual_machines.begin(), virtual_machines.end());
-    std::sort(chosen.begin(), chosen.end(), [](auto const& one, auto const& other) { return rendezvous_score(RENDEZVOUS, one) > rendezvous_score(RENDEZVOUS, other); });
+    std::sort(chosen.begin(), chosen.end(), [](auto const& one, auto const& other) { return rendezvous_score(RENDEZVOUS_KEY, one) > rendezvous_score(RENDEZVOUS_KEY, other); });
     chosen.resize(std::min(count, chosen.size()));
     return chosen;
 }
@@ -54,7 +54,7 @@
 void WatchPlan::note_update(std::string_view sender, MonotonicTime now)
 {
     this->last_update = now;
-    if (rendezvous_score(RENDEZVOUS, sender) <= rendezvous_score(RENDEZVOUS, this->own_virtual_machine))
+    if (rendezvous_score(RENDEZVOUS_KEY, sender) <= rendezvous_score(RENDEZVOUS_KEY, this->own_virtual_machine))
         return;
     bool const was_silent = !this->last_trusted_update || now - *this->last_trusted_update >= this->silence_limit();
     if (was_silent)
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -60,7 +60,7 @@
 {
     line.with("visit", this->visit == CallerVisit::Return ? "return" : "first").with("placements", this->placements);
     if (this->first_event_after)
-        line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.pause_target));
+        line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.event_gap_target));
 }
 
 asio::awaitable<std::optional<PlacementDecision>> StreamFlow::place()
@@ -78,7 +78,7 @@
     ask.excluded_engines = this->failed_engines;
     this->add_unreachable(ask);
     ask.data_centre = this->state.data_centre;
-    ask.longest_pause = this->route.pause_target;
+    ask.longest_pause = this->route.event_gap_target;
     ask.own_part = prompt.own_part;
     this->wait = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
     auto decision = co_await this->state.placement->ask(std::move(ask), this->wait, this->time_to_place());
