--- a/Libraries/LibDecision/UpstreamSelector.h
+++ b/Libraries/LibDecision/UpstreamSelector.h
@@ -69,7 +69,7 @@
     bool is_ejected(std::string_view identity, MonotonicTime now) const;
 
 private:
-    struct Known {
+    struct UpstreamState {
         std::int64_t in_flight = 0;
         int failures_in_a_row = 0;
         int ejections = 0;
@@ -80,11 +80,11 @@
         bool needs_trial = false;
     };
 
-    double expected_seconds(SelectableUpstream const& upstream, Known const& known) const;
+    double expected_seconds(SelectableUpstream const& upstream, UpstreamState const& states) const;
 
     Options options;
-    std::map<std::string, Known, std::less<>> known;
-    std::uint64_t turn = 0;
+    std::map<std::string, UpstreamState, std::less<>> states;
+    std::uint64_t next_start = 0;
 };
 
 }
