--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -37,11 +37,11 @@
         for (int i = 0; i < count; ++i) {
             this->names.push_back("vm-" + std::to_string(i));
             this->tables.emplace_back(MembershipTable::Options {}, record(this->names.back()));
-            this->silent.push_back(false);
+            this->unresponsive.push_back(false);
         }
     }
 
-    void acquaint()
+    void introduce_all()
     {
         std::vector<MemberRecord> records;
         for (auto const& name : this->names)
@@ -53,7 +53,7 @@
     void run_second(MonotonicTime now)
     {
         for (std::size_t i = 0; i < this->tables.size(); ++i) {
-            if (this->silent[i])
+            if (this->unresponsive[i])
                 continue;
             this->tables[i].update_self(services(this->names[i]), 1);
             this->tables[i].advance(now);
@@ -75,7 +75,7 @@
     {
         for (std::size_t i = 0; i < this->tables.size(); ++i) {
             auto const seen = this->tables[i].find(name);
-            if (!this->silent[i] && this->names[i] != name && (!seen || seen->liveness != liveness))
+            if (!this->unresponsive[i] && this->names[i] != name && (!seen || seen->liveness != liveness))
                 return false;
         }
         return true;
@@ -83,7 +83,7 @@
 
     std::vector<std::string> names;
     std::vector<MembershipTable> tables;
-    std::vector<bool> silent;
+    std::vector<bool> unresponsive;
 
 private:
     bool is_lost()
@@ -115,7 +115,7 @@
     /// Returns true if the acknowledgement arrived.
     bool exchange(std::size_t from, std::size_t to, MonotonicTime now)
     {
-        if (from == to || this->silent[to] || this->is_lost())
+        if (from == to || this->unresponsive[to] || this->is_lost())
             return false;
         bool const is_new = !this->tables[to].find(this->names[from]);
         this->send(from, to, now);
@@ -141,7 +141,7 @@
         gossip.run(0, 30);
         for (auto const& name : gossip.names)
             REQUIRE(gossip.everyone_sees(name, MemberLiveness::Alive));
-        gossip.silent[0] = true;
+        gossip.unresponsive[0] = true;
         std::int64_t second = 30;
         while (!gossip.everyone_sees("vm-0", MemberLiveness::Dead)) {
             gossip.run_second(at_milliseconds(second++ * 1000));
@@ -172,9 +172,9 @@
 {
     Gossip gossip(13, 4);
     gossip.run(0, 20);
-    gossip.silent[5] = true;
+    gossip.unresponsive[5] = true;
     gossip.run(20, 23);
-    gossip.silent[5] = false;
+    gossip.unresponsive[5] = false;
     for (std::int64_t second = 23; second < 40; ++second) {
         gossip.run(second, second + 1);
         REQUIRE_FALSE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
@@ -186,10 +186,10 @@
 {
     Gossip gossip(13, 4);
     gossip.run(0, 20);
-    gossip.silent[5] = true;
+    gossip.unresponsive[5] = true;
     gossip.run(20, 40);
     REQUIRE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
-    gossip.silent[5] = false;
+    gossip.unresponsive[5] = false;
     gossip.run(40, 50);
     CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
@@ -253,7 +253,7 @@
     gossip.tables[3].leave();
     gossip.run(20, 30);
     CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Leaving));
-    gossip.silent[3] = true;
+    gossip.unresponsive[3] = true;
     gossip.run(30, 45);
     CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Dead));
 }
@@ -277,7 +277,7 @@
     {
         for (; this->now < until; this->now += STEP) {
             for (std::size_t i = 0; i < this->machines.size(); ++i)
-                this->turn(i);
+                this->run_step(i);
         }
     }
 
@@ -302,7 +302,7 @@
     std::int64_t now = 0;
 
 private:
-    void turn(std::size_t index)
+    void run_step(std::size_t index)
     {
         auto& machine = this->machines[index];
         auto const age = this->now - machine.start;
@@ -311,32 +311,32 @@
         if (age % 500 == 0) {
             for (std::size_t seed = 0; seed < SEEDS; ++seed) {
                 if (seed != index && !machine.table.find(this->machines[seed].name))
-                    this->compare(index, seed);
+                    this->exchange_keys(index, seed);
             }
         }
         if (age % 150 == 0 && age <= 1500) {
             for (auto const& target : machine.table.next_targets(1))
-                this->compare(index, static_cast<std::size_t>(std::stoi(target.substr(3))));
+                this->exchange_keys(index, static_cast<std::size_t>(std::stoi(target.substr(3))));
         }
     }
 
-    void compare(std::size_t from, std::size_t to)
+    void exchange_keys(std::size_t from, std::size_t to)
     {
         auto const time = at_milliseconds(this->now);
-        auto& asks = this->machines[from];
-        auto& answers = this->machines[to];
-        if (this->now < answers.start)
+        auto& asker = this->machines[from];
+        auto& responder = this->machines[to];
+        if (this->now < responder.start)
             return;
-        auto const keys = asks.table.keys();
-        bool const is_new = !answers.table.find(asks.name);
-        std::vector<MemberRecord> const own = { asks.table.self() };
-        answers.table.merge_records(own, time);
-        auto const difference = answers.table.compare_keys(asks.name, keys, is_new ? 24 : 96);
-        asks.table.merge_records(difference.missing_records, time);
-        auto const told = asks.table.records_of(difference.unknown_keys);
-        answers.table.merge_records(told, time);
-        asks.sent_bytes += keys.size() * KEY_BYTES + (told.size() + 1) * RECORD_BYTES;
-        answers.sent_bytes += difference.missing_records.size() * RECORD_BYTES + difference.unknown_keys.size() * KEY_BYTES;
+        auto const keys = asker.table.keys();
+        bool const is_new = !responder.table.find(asker.name);
+        std::vector<MemberRecord> const own = { asker.table.self() };
+        responder.table.merge_records(own, time);
+        auto const difference = responder.table.compare_keys(asker.name, keys, is_new ? 24 : 96);
+        asker.table.merge_records(difference.missing_records, time);
+        auto const received = asker.table.records_of(difference.unknown_keys);
+        responder.table.merge_records(received, time);
+        asker.sent_bytes += keys.size() * KEY_BYTES + (received.size() + 1) * RECORD_BYTES;
+        responder.sent_bytes += difference.missing_records.size() * RECORD_BYTES + difference.unknown_keys.size() * KEY_BYTES;
     }
 };
 
@@ -389,14 +389,14 @@
     }
 
     /// Suspects the VMs and advances the time.
-    void lose(std::initializer_list<char const*> names, Duration passed)
+    void suspect(std::initializer_list<char const*> names, Duration passed)
     {
         for (auto const* name : names)
             this->table.mark_suspect(name, this->now);
-        this->pass(passed);
+        this->elapse(passed);
     }
 
-    void pass(Duration passed)
+    void elapse(Duration passed)
     {
         auto const until = this->now + passed;
         for (; this->now < until; this->now += seconds(1))
@@ -405,12 +405,12 @@
 
     static std::string data_centre_of(MemberRecord const& member) { return member.virtual_machine.substr(0, 3); }
 
-    void tell(std::string const& name, MemberLiveness liveness, std::int64_t version)
+    void receive(std::string const& name, MemberLiveness liveness, std::int64_t version)
     {
-        auto told = record(name);
-        told.liveness = liveness;
-        told.version = version;
-        this->table.merge_records(std::array { told }, this->now);
+        auto received = record(name);
+        received.liveness = liveness;
+        received.version = version;
+        this->table.merge_records(std::array { received }, this->now);
     }
 
     MembershipTable table { MembershipTable::Options {}, record("own-1") };
@@ -424,9 +424,9 @@
     TwoDataCentres test;
     CHECK(test.table.count() == VirtualMachineCount { 4, 0 });
     CHECK(test.table.count().share_of_each() == 0.25);
-    test.lose({ "far-1" }, seconds(1));
+    test.suspect({ "far-1" }, seconds(1));
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
-    test.pass(seconds(5));
+    test.elapse(seconds(5));
     REQUIRE(test.table.find("far-1")->liveness == MemberLiveness::Dead);
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
     CHECK(test.table.count().share_of_each() == 0.25);
@@ -436,11 +436,11 @@
 TEST_CASE("VMs of an unresponsive data centre are counted for as long as none of it responds", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
-    test.lose({ "far-1", "far-2" }, seconds(3600));
+    test.suspect({ "far-1", "far-2" }, seconds(3600));
     CHECK(test.table.count() == VirtualMachineCount { 2, 2 });
     // One VM of the data centre responds again, so the other one is known to be dead.
-    test.tell("far-1", MemberLiveness::Alive, 1);
-    test.pass(seconds(2));
+    test.receive("far-1", MemberLiveness::Alive, 1);
+    test.elapse(seconds(2));
     CHECK(test.table.count() == VirtualMachineCount { 3, 0 });
 }
 
@@ -448,14 +448,14 @@
 {
     TwoDataCentres test;
     CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
-    test.lose({ "far-1" }, seconds(1));
+    test.suspect({ "far-1" }, seconds(1));
     CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
 }
 
 TEST_CASE("A dead VM of a data centre that responds is forgotten", "[kill]")
 {
     TwoDataCentres test;
-    test.lose({ "own-2", "far-1" }, seconds(200));
+    test.suspect({ "own-2", "far-1" }, seconds(200));
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
     CHECK_FALSE(test.table.find("own-2"));
 }
@@ -463,23 +463,23 @@
 TEST_CASE("A VM that left as planned is not missing, and one that returns and dies is", "[planned-stop]")
 {
     TwoDataCentres test;
-    test.tell("far-1", MemberLiveness::Leaving, 1);
-    test.tell("far-2", MemberLiveness::Leaving, 1);
+    test.receive("far-1", MemberLiveness::Leaving, 1);
+    test.receive("far-2", MemberLiveness::Leaving, 1);
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
-    test.lose({ "far-1", "far-2" }, seconds(10));
+    test.suspect({ "far-1", "far-2" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
-    test.tell("far-1", MemberLiveness::Alive, 2);
-    test.lose({ "far-1" }, seconds(10));
+    test.receive("far-1", MemberLiveness::Alive, 2);
+    test.suspect({ "far-1" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 1 });
     // The other VM's data centre does not respond, but that VM left as planned.
-    test.pass(seconds(3600));
+    test.elapse(seconds(3600));
     CHECK_FALSE(test.table.find("far-2"));
 }
 
 namespace {
 
 /// VMs that know each other from the start.
-std::vector<MembershipTable> acquainted(std::size_t count)
+std::vector<MembershipTable> make_connected_tables(std::size_t count)
 {
     std::vector<MemberRecord> records;
     for (std::size_t i = 0; i < count; ++i)
@@ -497,7 +497,7 @@
 TEST_CASE("The number of VMs that a VM probes is independent of the number of VMs, and each is probed by some", "[fleet]")
 {
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
-    auto tables = acquainted(count);
+    auto tables = make_connected_tables(count);
     std::map<std::string, std::size_t> probed_by;
     for (auto& table : tables) {
         std::set<std::string> probed;
@@ -517,7 +517,7 @@
 TEST_CASE("A suspect is probed by some VMs in each period, not by all of a thousand", "[fleet][freeze]")
 {
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
-    auto tables = acquainted(count);
+    auto tables = make_connected_tables(count);
     for (auto& table : tables)
         table.mark_suspect("vm-7", at_milliseconds(0));
     for (int period = 0; period < 5; ++period) {
@@ -535,11 +535,11 @@
 {
     auto const count = GENERATE(30, 300);
     Gossip gossip(count, 11);
-    gossip.acquaint();
+    gossip.introduce_all();
     // By then the updates about all VMs have been transmitted.
     gossip.run(0, 40);
     REQUIRE(gossip.everyone_sees("vm-23", MemberLiveness::Alive));
-    gossip.silent[23] = true;
+    gossip.unresponsive[23] = true;
     gossip.run(40, 50);
     CHECK(gossip.everyone_sees("vm-23", MemberLiveness::Dead));
 }
--- a/Tests/LibDecision/TestPartitionDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -78,10 +78,10 @@
             std::erase_if(this->retries, [&](Retry const& retry) {
                 if (retry.at > this->now)
                     return false;
-                this->again.push_back(retry);
+                this->due.push_back(retry);
                 return true;
             });
-            for (auto const& retry : std::exchange(this->again, {}))
+            for (auto const& retry : std::exchange(this->due, {}))
                 this->send(retry.from, retry.to, retry.tries);
         }
     }
@@ -126,8 +126,8 @@
     void send(std::size_t from, std::size_t to, int tries)
     {
         bool const is_elsewhere = this->centre(from) != this->centre(to);
-        bool const is_parted = is_elsewhere && (this->centre(from) == this->cut || this->centre(to) == this->cut);
-        bool const arrives = !is_parted && !this->is_dead[to] && !this->chance(this->loss);
+        bool const is_blocked = is_elsewhere && (this->centre(from) == this->cut || this->centre(to) == this->cut);
+        bool const arrives = !is_blocked && !this->is_dead[to] && !this->chance(this->loss);
         if (arrives && is_elsewhere)
             this->detectors[to].note_message(at_milliseconds(this->now));
         if (arrives && !this->chance(this->loss)) {
@@ -148,7 +148,7 @@
     std::vector<std::int64_t> offset;
     std::vector<bool> is_dead;
     std::vector<Retry> retries;
-    std::vector<Retry> again;
+    std::vector<Retry> due;
 };
 
 }
--- a/Tests/LibDecision/TestPoisonRequestDetector.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -22,10 +22,10 @@
 
 struct PoisonRequestTest {
     /// Crashes an upstream that had been running each of the requests for the given time.
-    void crash(std::vector<std::pair<std::string, Duration>> const& there)
+    void crash(std::vector<std::pair<std::string, Duration>> const& running)
     {
         auto const name = "i-" + std::to_string(this->crashes++);
-        for (auto const& [body, ran_for] : there)
+        for (auto const& [body, ran_for] : running)
             this->ledger.note_crash(request_named(body), { name, 0 }, ran_for, this->now);
         this->now += milliseconds(200);
     }
@@ -189,28 +189,28 @@
         struct Victim {
             std::string body;
             int engine;
-            int moves;
-            MonotonicTime came;
+            int retries;
+            MonotonicTime arrived;
         };
         std::vector<Victim> victims;
-        int named = 0;
+        int victim_count = 0;
         std::optional<int> found_after;
         for (int end = 1; end <= 8; ++end) {
             while (victims.size() < 40)
-                victims.push_back({ "v" + std::to_string(named++), static_cast<int>(random() % ENGINES), 0, test.now - milliseconds(static_cast<std::int64_t>(random() % 3000)) });
-            int const ending = static_cast<int>(random() % ENGINES);
-            std::vector<std::pair<std::string, Duration>> there { { "cause", milliseconds(30 + static_cast<std::int64_t>(random() % 180)) } };
+                victims.push_back({ "v" + std::to_string(victim_count++), static_cast<int>(random() % ENGINES), 0, test.now - milliseconds(static_cast<std::int64_t>(random() % 3000)) });
+            int const crashing_engine = static_cast<int>(random() % ENGINES);
+            std::vector<std::pair<std::string, Duration>> running { { "cause", milliseconds(30 + static_cast<std::int64_t>(random() % 180)) } };
             for (auto& victim : victims) {
-                if (victim.engine != ending)
+                if (victim.engine != crashing_engine)
                     continue;
-                there.emplace_back(victim.body, std::chrono::duration_cast<Duration>(test.now - victim.came));
+                running.emplace_back(victim.body, std::chrono::duration_cast<Duration>(test.now - victim.arrived));
                 // As few engines are left, the request usually meets the poison request again right away.
                 victim.engine = static_cast<int>(random() % ENGINES);
-                victim.came = test.now + milliseconds(static_cast<std::int64_t>(random() % 150));
-                ++victim.moves;
+                victim.arrived = test.now + milliseconds(static_cast<std::int64_t>(random() % 150));
+                ++victim.retries;
             }
-            std::erase_if(victims, [](auto const& victim) { return victim.moves > 3; });
-            test.crash(there);
+            std::erase_if(victims, [](auto const& victim) { return victim.retries > 3; });
+            test.crash(running);
             auto const found = test.causes();
             for (auto const& cause : found)
                 blamed_victims += cause == request_named("cause") ? 0 : 1;
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -130,11 +130,11 @@
     auto const below = [&](std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(random); };
     UpstreamList::Options options;
     options.remembered_removals = 4;
-    UpstreamList truth(options);
+    UpstreamList expected(options);
     std::vector<UpstreamList> vms(4, UpstreamList(options));
-    std::vector<UpstreamListing> on_the_way;
+    std::vector<UpstreamListing> in_flight;
     std::int64_t version = 0;
-    std::vector<std::int64_t> heard(vms.size(), 0);
+    std::vector<std::int64_t> applied(vms.size(), 0);
     std::vector<UpstreamChange> history;
     for (int step = 0; step < 400; ++step) {
         auto& vm = vms[below(vms.size())];
@@ -147,33 +147,33 @@
             if (below(3) != 0)
                 change.record = record(identity, static_cast<std::int64_t>(below(50)) + 1);
             history.push_back(change);
-            truth.apply(change, at_milliseconds(step));
+            expected.apply(change, at_milliseconds(step));
             break;
         }
         case 2:
             // The VM's own watch delivers the next changes.
-            for (; heard[index] < version && below(4) != 0; ++heard[index])
-                vm.apply(history[static_cast<std::size_t>(heard[index])], at_milliseconds(step));
+            for (; applied[index] < version && below(4) != 0; ++applied[index])
+                vm.apply(history[static_cast<std::size_t>(applied[index])], at_milliseconds(step));
             break;
         case 3:
-            on_the_way.push_back(vms[below(vms.size())].listing_since(vm.version()));
+            in_flight.push_back(vms[below(vms.size())].listing_since(vm.version()));
             if (below(2) == 0)
-                vm.merge(on_the_way.back(), at_milliseconds(step));
+                vm.merge(in_flight.back(), at_milliseconds(step));
             break;
         case 4:
             // A delayed response to a request of this VM. A delta requested by another VM would not apply.
-            if (!on_the_way.empty() && on_the_way.back().version <= vm.version())
-                vm.merge(on_the_way.back(), at_milliseconds(step));
+            if (!in_flight.empty() && in_flight.back().version <= vm.version())
+                vm.merge(in_flight.back(), at_milliseconds(step));
             break;
         default:
             break;
         }
     }
     for (std::size_t i = 0; i < vms.size(); ++i) {
-        vms[i].merge(truth.listing_since(vms[i].version()), at_milliseconds(1000));
+        vms[i].merge(expected.listing_since(vms[i].version()), at_milliseconds(1000));
         CAPTURE(seed, i, vms[i].version());
-        CHECK(vms[i].version() == truth.version());
-        CHECK(vms[i].records() == truth.records());
+        CHECK(vms[i].version() == expected.version());
+        CHECK(vms[i].records() == expected.records());
     }
 }
 
@@ -332,12 +332,12 @@
         int data_centre;
         WatchPlan plan;
         std::int64_t version = 0;
-        bool is_turned_away = false;
-        bool is_followed = false;
+        bool is_refused = false;
+        bool is_synchronized = false;
         int failures = 0;
         std::int64_t next_try = 0;
-        std::int64_t gathers_until = 0;
-        std::int64_t next_tell = 0;
+        std::int64_t batches_until = 0;
+        std::int64_t next_relay = 0;
     };
 
     void run(std::int64_t until)
@@ -346,7 +346,7 @@
             for (auto& machine : this->machines)
                 this->watch(machine);
             for (auto& machine : this->machines)
-                this->tell(machine);
+                this->relay(machine);
         }
     }
 
@@ -371,11 +371,11 @@
     {
         auto const time = at_milliseconds(this->now);
         if (!machine.plan.watches(time)) {
-            machine.is_followed = false;
+            machine.is_synchronized = false;
             return;
         }
-        if (this->is_down || machine.is_turned_away) {
-            machine.is_followed = false;
+        if (this->is_down || machine.is_refused) {
+            machine.is_synchronized = false;
             if (this->now < machine.next_try)
                 return;
             ++this->calls;
@@ -384,24 +384,24 @@
             machine.next_try = this->now + static_cast<std::int64_t>(static_cast<double>(usual) * shared * 0.75);
             return;
         }
-        bool const is_over = !machine.is_followed || this->now >= machine.next_try;
-        if (this->now < machine.gathers_until || (!is_over && machine.version == this->version))
+        bool const is_over = !machine.is_synchronized || this->now >= machine.next_try;
+        if (this->now < machine.batches_until || (!is_over && machine.version == this->version))
             return;
         ++this->calls;
         machine.failures = 0;
-        machine.is_followed = true;
+        machine.is_synchronized = true;
         if (machine.version != this->version)
-            machine.gathers_until = this->now + to_milliseconds(machine.plan.batching_delay(NEWS_TIME));
+            machine.batches_until = this->now + to_milliseconds(machine.plan.batching_delay(NEWS_TIME));
         machine.version = this->version;
         machine.next_try = this->now + 4000;
-        machine.next_tell = 0;
+        machine.next_relay = 0;
     }
 
-    void tell(Machine& machine)
+    void relay(Machine& machine)
     {
-        if (!machine.is_followed || this->now < machine.next_tell)
+        if (!machine.is_synchronized || this->now < machine.next_relay)
             return;
-        machine.next_tell = this->now + 400;
+        machine.next_relay = this->now + 400;
         for (auto const& listener : machine.plan.listeners()) {
             for (auto& other : this->machines) {
                 if (other.name != listener)
@@ -467,7 +467,7 @@
     {
         for (std::size_t i = 0; i < registry.machines.size(); ++i) {
             auto& machine = registry.machines[i];
-            machine.is_turned_away = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.role() == WatchPlan::Role::Watcher);
+            machine.is_refused = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.role() == WatchPlan::Role::Watcher);
         }
         ++registry.version;
         registry.run(registry.now + 1500);
--- a/Tests/LibDecision/TestSendAccounting.cpp
+++ b/Tests/LibDecision/TestSendAccounting.cpp
@@ -18,8 +18,8 @@
 std::size_t extra_sends_in(SharedRetryBudget& budget, std::int64_t now) { return budget.level(1, at_milliseconds(now)).extra_sends; }
 
 enum class Step {
-    PromptRead,
-    PromptRefused,
+    PrefillAccepted,
+    PrefillRefused,
     Run,
 };
 
@@ -33,15 +33,15 @@
     if (step == Step::Run)
         ledger.note_run(at_milliseconds(now));
     else
-        ledger.note_prefill(step == Step::PromptRead ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, at_milliseconds(now));
+        ledger.note_prefill(step == Step::PrefillAccepted ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, at_milliseconds(now));
     return true;
 }
 
 /// Counts the arrivals after the first, from the sends alone.
 std::size_t extra_arrivals(std::vector<Step> const& sent)
 {
-    auto const prompts_read = static_cast<std::size_t>(std::count(sent.begin(), sent.end(), Step::PromptRead));
-    auto const arrivals = sent.size() - std::min<std::size_t>(1, prompts_read);
+    auto const accepted_prefills = static_cast<std::size_t>(std::count(sent.begin(), sent.end(), Step::PrefillAccepted));
+    auto const arrivals = sent.size() - std::min<std::size_t>(1, accepted_prefills);
     return arrivals - std::min<std::size_t>(1, arrivals);
 }
 
@@ -50,7 +50,7 @@
 // Covers each order in which six prefills and runs can end, with each budget from zero to more than sufficient.
 TEST_CASE("Exactly the arrivals beyond the first are charged, in any order of sends", "[retry-budget]")
 {
-    constexpr std::array STEPS { Step::PromptRead, Step::PromptRefused, Step::Run };
+    constexpr std::array STEPS { Step::PrefillAccepted, Step::PrefillRefused, Step::Run };
     constexpr int LENGTH = 6;
     constexpr int ORDERS = 729;
     for (int order = 0; order < ORDERS; ++order) {
@@ -76,11 +76,11 @@
 {
     auto budget = budget_of(1);
     SendAccounting ledger(budget);
-    REQUIRE(send(ledger, Step::PromptRead, 0));
+    REQUIRE(send(ledger, Step::PrefillAccepted, 0));
     REQUIRE(ledger.uncharged(SendAccounting::Send::Prefill) == 1);
     REQUIRE(send(ledger, Step::Run, 1));
     REQUIRE(ledger.uncharged(SendAccounting::Send::Prefill) == 2);
-    REQUIRE_FALSE(send(ledger, Step::PromptRead, 2));
+    REQUIRE_FALSE(send(ledger, Step::PrefillAccepted, 2));
     REQUIRE(send(ledger, Step::Run, 3));
 }
 
--- a/Tests/LibDecision/TestStopPolicy.cpp
+++ b/Tests/LibDecision/TestStopPolicy.cpp
@@ -16,13 +16,13 @@
         RouteKind kind;
         std::int64_t longest;
         std::int64_t left;
-        bool taken;
+        bool accepted;
     };
     auto const given = GENERATE(
         Case { RouteKind::Stream, 14'000, 7600, true }, Case { RouteKind::Stream, 14'000, 5100, true }, Case { RouteKind::Stream, 14'000, 5000, false }, Case { RouteKind::Stream, 14'000, 100, false },
         Case { RouteKind::NotRepeatable, 1500, 1500, true }, Case { RouteKind::NotRepeatable, 1500, 1499, false }, Case { RouteKind::Repeatable, 400, 500, true }, Case { RouteKind::Repeatable, 400, 0, false });
     CAPTURE(static_cast<int>(given.kind), given.longest, given.left);
-    REQUIRE(may_begin_before_stop(given.kind, { milliseconds(given.longest) }, { milliseconds(given.left), milliseconds(7600) }) == given.taken);
+    REQUIRE(may_begin_before_stop(given.kind, { milliseconds(given.longest) }, { milliseconds(given.left), milliseconds(7600) }) == given.accepted);
 }
 
 TEST_CASE("A stream begins on a stopping VM if nine in ten of its kind end before the VM exits", "[planned-stop]")
@@ -31,7 +31,7 @@
         std::string name;
         std::int64_t probable;
         std::int64_t left;
-        bool taken;
+        bool accepted;
     };
     auto const row = GENERATE(values<Row>({
         { "a short one, late in the stop", 1500, 1600, true },
@@ -41,7 +41,7 @@
         { "a usual one at its begin", 5500, 7600, true },
     }));
     CAPTURE(row.name);
-    CHECK(may_begin_before_stop(RouteKind::Stream, { milliseconds(14'000), milliseconds(row.probable) }, { milliseconds(row.left), milliseconds(7600) }) == row.taken);
+    CHECK(may_begin_before_stop(RouteKind::Stream, { milliseconds(14'000), milliseconds(row.probable) }, { milliseconds(row.left), milliseconds(7600) }) == row.accepted);
 }
 
 TEST_CASE("The 90th percentile of durations follows their pace and the expected length")
@@ -75,11 +75,11 @@
     AnswerPace pace;
     pace.note("engines", 1000, seconds(1));
     struct Count {
-        int taken = 0;
-        int cut = 0;
+        int accepted = 0;
+        int interrupted = 0;
     };
     Count by_pace;
-    Count by_third;
+    Count by_remaining_time;
     constexpr int STREAMS = 4000;
     for (int i = 0; i < STREAMS; ++i) {
         auto const expected = median(random);
@@ -88,15 +88,15 @@
         auto const count = [&](ExpectedDuration time, Count& counted) {
             if (!may_begin_before_stop(RouteKind::Stream, time, { left, milliseconds(7600) }))
                 return;
-            ++counted.taken;
-            counted.cut += ends_after > left ? 1 : 0;
+            ++counted.accepted;
+            counted.interrupted += ends_after > left ? 1 : 0;
         };
         count({ seconds(14), milliseconds(500) + *pace.probable("engines", static_cast<std::int64_t>(expected), 11'000, 0.6) }, by_pace);
-        count({ seconds(14) }, by_third);
+        count({ seconds(14) }, by_remaining_time);
     }
-    CHECK(by_third.taken == STREAMS);
-    CHECK(by_third.cut > STREAMS / 5);
-    CHECK(by_pace.cut * 20 < STREAMS);
+    CHECK(by_remaining_time.accepted == STREAMS);
+    CHECK(by_remaining_time.interrupted > STREAMS / 5);
+    CHECK(by_pace.interrupted * 20 < STREAMS);
     // The median length is close to the remaining time. The other streams are served elsewhere.
-    CHECK(by_pace.taken * 4 > STREAMS);
+    CHECK(by_pace.accepted * 4 > STREAMS);
 }
