--- a/Libraries/LibDecision/Residency.h
+++ b/Libraries/LibDecision/Residency.h
@@ -10,25 +10,25 @@
 
 namespace Spurtide {
 
-/// The region of each data centre.
+/// Maps data centres to regions.
 using RegionMap = std::map<std::string, std::string, std::less<>>;
 
-/// Where a request may be served: in the regions that its route names and its account names, where they name some.
+/// The regions in which a request may be served, as restricted by its route and its account.
 class Residency {
 public:
     Residency() = default;
-    Residency(std::vector<std::string> of_route, std::vector<std::string> of_account)
-        : lists { std::move(of_route), std::move(of_account) }
+    Residency(std::vector<std::string> route_regions, std::vector<std::string> account_regions)
+        : region_lists { std::move(route_regions), std::move(account_regions) }
     {
     }
 
-    bool is_bound() const;
-    /// A data centre whose region is not known is no home of a bound request.
+    bool is_restricted() const;
+    /// A data centre with an unknown region does not satisfy a restriction.
     bool allows(std::string_view data_centre, RegionMap const& regions) const;
 
 private:
-    /// Each that is not empty binds.
-    std::vector<std::vector<std::string>> lists;
+    /// Each non-empty list is a restriction.
+    std::vector<std::vector<std::string>> region_lists;
 };
 
 }
--- /dev/null
+++ b/Libraries/LibDecision/UpstreamLimitTable.h
@@ -0,0 +1,57 @@
+// SPDX-FileCopyrightText: 2026 The Spurtide developers
+// SPDX-License-Identifier: BSD-2-Clause
+
+#pragma once
+
+#include <LibCore/Time.h>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace Spurtide {
+
+/// The request rate that an upstream accepts from all VMs together, as it stated at some point in time.
+struct UpstreamLimitStatement {
+    /// Requests per second; empty if the upstream stated no limit.
+    std::optional<double> rate;
+    /// For a limit, when it was received. Otherwise, when the request was sent whose response stated none, since
+    /// responses to earlier requests may predate the limit.
+    MonotonicTime as_of;
+};
+
+/// The latest rate limit statement of each upstream that this VM has received. Time is passed in.
+class UpstreamLimitTable {
+public:
+    enum class Change {
+        None,
+        /// A different limit is in force, or none any more.
+        InForce,
+    };
+
+    /// Stores the statement unless a newer one is known. An upstream without a known limit that states none is not
+    /// stored.
+    Change merge(std::string_view upstream, UpstreamLimitStatement const& statement);
+
+    /// Returns the limit in force in requests per second, if there is one.
+    std::optional<double> rate_of(std::string_view upstream) const;
+    /// Returns the latest statement, if there is one.
+    std::optional<UpstreamLimitStatement> statement_of(std::string_view upstream) const;
+    /// Differs between two VMs, barring hash collisions, if they know limits of different upstreams; 0 if there are
+    /// none.
+    std::uint64_t digest() const;
+    /// Calls the function with the name of each upstream that has a statement.
+    void for_each(std::function<void(std::string_view)> const& function) const;
+    /// Number of upstreams with a limit.
+    std::size_t size() const;
+    /// Forgets upstreams that are no longer listed.
+    void retain(std::function<bool(std::string_view)> const& is_listed);
+
+private:
+    std::map<std::string, UpstreamLimitStatement, std::less<>> statements;
+};
+
+}
--- a/Libraries/LibDecision/UpstreamPacer.cpp
+++ b/Libraries/LibDecision/UpstreamPacer.cpp
@@ -15,7 +15,7 @@
     if (found == this->entries.end())
         found = this->entries.emplace(std::string(upstream), Entry { interval, now + interval, now }).first;
     auto& entry = found->second;
-    // Under a higher limit the turns that were given come sooner.
+    // A higher limit moves the turns that were already granted forward.
     if (interval < entry.interval && entry.next > now)
         entry.next = now + Duration(static_cast<std::int64_t>(static_cast<double>((entry.next - now).count()) * to_seconds(interval) / to_seconds(entry.interval)));
     entry.interval = interval;
@@ -27,14 +27,14 @@
     }
     if (ask.patience <= Duration::zero())
         return { Turn::Outcome::Denied, wait };
-    auto const at = std::max(turn, entry.last_return + interval);
+    auto const at = std::max(turn, entry.last_retry + interval);
     auto const retry_after = std::chrono::duration_cast<Duration>(at - now);
     if (retry_after <= ask.patience)
-        entry.last_return = at;
+        entry.last_retry = at;
     return { Turn::Outcome::Denied, retry_after };
 }
 
-void UpstreamPacer::give_back(std::string_view upstream, MonotonicTime now)
+void UpstreamPacer::return_turn(std::string_view upstream, MonotonicTime now)
 {
     auto const found = this->entries.find(upstream);
     if (found != this->entries.end())
--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/PlainFlow.cpp
@@ -30,11 +30,11 @@
     switch (end) {
     case SendOutcome::Success:
     case SendOutcome::OwnFailure:
-        return UpstreamOutcome::Good;
+        return UpstreamOutcome::Succeeded;
     case SendOutcome::NotExecuted:
         return UpstreamOutcome::Full;
     default:
-        return UpstreamOutcome::Bad;
+        return UpstreamOutcome::Failed;
     }
 }
 
@@ -145,7 +145,7 @@
         co_await this->fail(502, "no_upstream");
         co_return;
     }
-    std::string reason = this->residency.is_bound() ? "no_upstream_in_home_regions" : "no_upstream";
+    std::string reason = this->residency.is_restricted() ? "no_upstream_in_home_regions" : "no_upstream";
     auto retry_after = NO_UPSTREAM_RETRY_AFTER;
     if (this->next_cold_turn) {
         reason = "upstreams_cold";
@@ -231,7 +231,7 @@
     if (acquired.is_error()) {
         attempt.reason = to_string(acquired.error());
         this->state.prober.note_unreachable(upstream, acquired.error());
-        this->state.selector.note_end(upstream.identity, UpstreamOutcome::Bad, Duration::zero(), monotonic_now());
+        this->state.selector.note_end(upstream.identity, UpstreamOutcome::Failed, Duration::zero(), monotonic_now());
         this->state.limiter->give_back(upstream.identity);
         co_return attempt;
     }
--- a/Libraries/LibRouter/RegistryPort.h
+++ b/Libraries/LibRouter/RegistryPort.h
@@ -5,7 +5,7 @@
 
 #include <LibCore/Result.h>
 #include <LibCore/Time.h>
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <LibDecision/RouteTable.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibPlatform/PlatformError.h>
@@ -27,7 +27,7 @@
 struct ConfigurationNews {
     /// Empty where there is none, or none that is new.
     std::optional<ConfigurationDocument> document;
-    EvacuationNews evacuations;
+    EvacuationUpdate evacuations;
     std::int64_t position = 0;
 };
 
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -17,9 +17,9 @@
 /// As long as the registry's answers may be.
 constexpr std::size_t LONGEST_CONFIGURATION = 4UL * 1024 * 1024;
 
-PeerNewsTracker::OwnSource source_of(bool follows)
+PeerFetchPolicy::LocalSource source_of(bool follows)
 {
-    return follows ? PeerNewsTracker::OwnSource::Well : PeerNewsTracker::OwnSource::Away;
+    return follows ? PeerFetchPolicy::LocalSource::Available : PeerFetchPolicy::LocalSource::Unavailable;
 }
 
 }
@@ -53,13 +53,13 @@
 
 void RegistryRelay::start()
 {
-    this->kernel.every(this->plan.tell_interval(), [this] { this->every_interval(); });
+    this->kernel.every(this->plan.update_interval(), [this] { this->every_interval(); });
 }
 
 void RegistryRelay::every_interval()
 {
     this->plan.set_virtual_machines(this->kernel.directory().virtual_machines_with(this->news_service));
-    this->plan.set_company(this->hooks.company());
+    this->plan.set_peer_reachability(this->hooks.company());
     this->tell();
 }
 
@@ -70,7 +70,7 @@
 }
 
 bool RegistryRelay::watches() const { return this->plan.watches(monotonic_now()); }
-bool RegistryRelay::is_told() const { return this->plan.is_told(monotonic_now()); }
+bool RegistryRelay::is_told() const { return this->plan.has_recent_update(monotonic_now()); }
 
 void RegistryRelay::tell()
 {
@@ -87,7 +87,7 @@
     news->set_configuration_version(this->hooks.configuration_version());
     write_evacuations(this->upstreams.evacuations(), *news->mutable_evacuations());
     auto* content = news->mutable_upstreams();
-    if (listing.extent == UpstreamListing::Extent::Changes) {
+    if (listing.extent == UpstreamListing::Extent::Delta) {
         write_listing(listing, *content);
         content->set_since(since);
     } else {
@@ -105,15 +105,15 @@
 void RegistryRelay::take_news(wire::RegistryNews const& news)
 {
     auto const now = monotonic_now();
-    this->plan.note_told(news.vm(), now);
-    this->upstreams.note_registry(UpstreamList::RegistryState::Well, now);
+    this->plan.note_update(news.vm(), now);
+    this->upstreams.note_registry(UpstreamList::RegistryState::Available, now);
     this->take_upstreams_news(news);
     this->hooks.on_evacuations(read_evacuations(news.evacuations()));
     auto const endpoint = this->kernel.directory().resolve_on(news.vm(), CONFIGURATION_SERVICE);
     if (!endpoint)
         return;
     // From its own watcher a VM takes it at once; another one is asked where that one does not tell in time.
-    auto const source = news.vm() == this->plan.own_watcher() && !this->watches() ? PeerNewsTracker::OwnSource::Away : this->configuration_source();
+    auto const source = news.vm() == this->plan.assigned_watcher() && !this->watches() ? PeerFetchPolicy::LocalSource::Unavailable : this->configuration_source();
     if (this->configuration_news.should_fetch(news.configuration_version(), this->hooks.configuration_version(), source, now))
         this->fetch_configuration(*endpoint);
 }
@@ -134,15 +134,15 @@
     auto const before = this->upstreams.version();
     if (listing.version <= before)
         return;
-    LogLine("upstreams_from_peer").with("peer", source).with("version", listing.version).with("before", before).with("extent", listing.extent == UpstreamListing::Extent::Whole ? "whole" : "changes").with("count", static_cast<std::int64_t>(listing.records.size())).with("gone", static_cast<std::int64_t>(listing.gone.size()));
-    this->upstreams.take(listing, monotonic_now());
+    LogLine("upstreams_from_peer").with("peer", source).with("version", listing.version).with("before", before).with("extent", listing.extent == UpstreamListing::Extent::Snapshot ? "whole" : "changes").with("count", static_cast<std::int64_t>(listing.records.size())).with("gone", static_cast<std::int64_t>(listing.removed.size()));
+    this->upstreams.merge(listing, monotonic_now());
     this->hooks.on_upstreams();
 }
 
-PeerNewsTracker::OwnSource RegistryRelay::configuration_source() const
+PeerFetchPolicy::LocalSource RegistryRelay::configuration_source() const
 {
     if (!this->watches() && this->hooks.configuration_version() > 0)
-        return PeerNewsTracker::OwnSource::Watchers;
+        return PeerFetchPolicy::LocalSource::Watchers;
     return source_of(this->hooks.follows_configuration());
 }
 
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <LibDecision/PeerNewsTracker.h>
+#include <LibDecision/PeerFetchPolicy.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibDecision/WatchPlan.h>
 #include <LibRouter/RegistryFollower.h>
@@ -22,7 +22,7 @@
         /// A peer handed on the configuration.
         std::function<void(ConfigurationDocument const&)> on_configuration;
         /// A peer told of evacuations.
-        std::function<void(EvacuationNews const&)> on_evacuations = [](auto const&) {};
+        std::function<void(EvacuationUpdate const&)> on_evacuations = [](auto const&) {};
         /// The list of upstreams is another one.
         std::function<void()> on_upstreams;
         /// That of the configuration in force; 0 before the first.
@@ -31,7 +31,7 @@
         std::function<bool()> follows_configuration;
         std::function<bool()> follows_upstreams;
         /// Whether any other VM answered lately.
-        std::function<WatchPlan::Company()> company = [] { return WatchPlan::Company::Others; };
+        std::function<WatchPlan::PeerReachability()> company = [] { return WatchPlan::PeerReachability::Some; };
     };
 
     struct Options {
@@ -61,9 +61,9 @@
     /// Whether another VM that hears of the registry told of it lately.
     bool is_told() const;
     /// How long this VM gathers news, where they have to be in force within the given time.
-    Duration gathering(Duration news_time) const { return this->plan.gathering(news_time); }
+    Duration gathering(Duration news_time) const { return this->plan.batching_delay(news_time); }
     /// The longest pause between two tries of this VM while the registry is away.
-    Duration longest_pause(Duration usual) const { return this->plan.longest_pause(usual); }
+    Duration longest_pause(Duration usual) const { return this->plan.maximum_retry_interval(usual); }
     /// Tells the news, where it is this VM that watches for others.
     void tell();
 
@@ -73,7 +73,7 @@
     void take_news(wire::RegistryNews const& news);
     void take_upstreams_news(wire::RegistryNews const& news);
     void take_configuration(wire::ConfigurationContent const& content, std::string_view source);
-    PeerNewsTracker::OwnSource configuration_source() const;
+    PeerFetchPolicy::LocalSource configuration_source() const;
     std::string const& compressed_document();
     void take_listing(UpstreamListing const& listing, std::string_view source);
     void fetch_configuration(std::string const& endpoint);
@@ -87,8 +87,8 @@
     /// VMs of one data centre find each other by this name.
     std::string news_service;
     WatchPlan plan;
-    PeerNewsTracker configuration_news { PeerNewsTracker::Options {} };
-    PeerNewsTracker upstreams_news { PeerNewsTracker::Options {} };
+    PeerFetchPolicy configuration_news { PeerFetchPolicy::Options {} };
+    PeerFetchPolicy upstreams_news { PeerFetchPolicy::Options {} };
     ConfigurationDocument document;
     /// The same for peers; empty until one asks.
     std::string compressed;
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -93,7 +93,7 @@
         if (this->cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
             this->state.quota->give_back(this->counted_account, this->cost);
     }
-    this->ledger.give_back_unused();
+    this->ledger.refund_unused();
     this->limit.cancel();
 }
 
@@ -174,7 +174,7 @@
     if (facts.limit.state == LimitField::State::Named)
         statement = { facts.limit.rate, monotonic_now() };
     auto const before = this->state.limiter->rate_of(upstream);
-    if (this->state.limiter->note(upstream, statement) == UpstreamLimitBook::Change::None)
+    if (this->state.limiter->note(upstream, statement) == UpstreamLimitTable::Change::None)
         return;
     LogLine line(statement.rate ? "upstream_limit_named" : "upstream_limit_over");
     line.with("request", this->request.identifier).with("upstream", upstream).with("service", this->service);
@@ -251,26 +251,26 @@
 {
     if (sends_so_far >= this->route.maximum_attempts || this->time_left() < least_time || this->is_stopped())
         return SendHistory::AnotherSend::Spent;
-    return this->try_pay(SendLedger::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
+    return this->try_pay(SendAccounting::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
 }
 
-bool RequestFlow::try_pay(SendLedger::Send send)
+bool RequestFlow::try_pay(SendAccounting::Send send)
 {
-    auto const count = this->ledger.unpaid(send);
+    auto const count = this->ledger.uncharged(send);
     if (count == 0)
         return true;
     auto const part = this->state.retry_allowance_part();
-    bool const is_taken = this->ledger.try_pay(send, part, monotonic_now());
+    bool const is_taken = this->ledger.try_charge(send, part, monotonic_now());
     auto const level = this->state.budget_of(this->service).level(part, monotonic_now());
     std::string const outcome = is_taken ? "taken" : "spent";
     LogLine("extra_send")
         .with("request", this->request.identifier)
         .with("service", this->service)
-        .with("for", send == SendLedger::Send::Run ? "run" : "prefill")
+        .with("for", send == SendAccounting::Send::Run ? "run" : "prefill")
         .with("count", count)
         .with("outcome", outcome)
         .with("requests", level.requests)
-        .with("extras", level.extras)
+        .with("extras", level.extra_sends)
         .with("limit", level.limit)
         .with("part", part);
     this->state.metrics.increment("spurtide_extra_sends_total", "Sends beyond a request's first that were asked of the retry budget", { { "service", this->service }, { "outcome", outcome } }, static_cast<double>(count));
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -60,7 +60,7 @@
 {
     line.with("visit", this->visit == CallerAttempt::Retry ? "return" : "first").with("placements", this->placements);
     if (this->first_event_after)
-        line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.pause_target));
+        line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.event_gap_target));
 }
 
 asio::awaitable<std::optional<PlacementDecision>> StreamFlow::place()
@@ -78,7 +78,7 @@
     ask.excluded_engines = this->failed_engines;
     this->add_unreachable(ask);
     ask.data_centre = this->state.data_centre;
-    ask.longest_pause = this->route.pause_target;
+    ask.longest_pause = this->route.event_gap_target;
     ask.own_part = prompt.own_part;
     this->wait = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
     auto decision = co_await this->state.placement->ask(std::move(ask), this->wait, this->time_to_place());
@@ -204,7 +204,7 @@
 {
     bool const is_nowhere = refusal.reason == RefusalReason::NoUpstream;
     std::string reason(to_string(refusal.reason));
-    if (is_nowhere && this->residency.is_bound())
+    if (is_nowhere && this->residency.is_restricted())
         reason = "no_upstream_in_home_regions";
     if (is_nowhere && this->next_turn)
         reason = "upstreams_limited";
@@ -253,7 +253,7 @@
         co_return co_await this->give_up(SendOutcome::NotSent, to_string(reserved.error()));
     }
     if (prefill_engine) {
-        if (!this->try_pay(SendLedger::Send::Prefill))
+        if (!this->try_pay(SendAccounting::Send::Prefill))
             co_return co_await this->give_up(SendOutcome::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
         UpstreamRecord const prefiller = *prefill_engine;
         auto cache = co_await this->prefill(prefiller);
@@ -336,7 +336,7 @@
     }
     if (head.is_error())
         static_cast<void>(co_await this->report_crash(engine, head.error(), begun));
-    this->ledger.note_prefill(cache ? SendLedger::PrefillEnd::TakenUp : SendLedger::PrefillEnd::NotTakenUp, monotonic_now());
+    this->ledger.note_prefill(cache ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, monotonic_now());
     if (!head.is_error())
         use->note_heard();
     use.reset();
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -18,7 +18,7 @@
 
 }
 
-UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks)
+UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitTable& book, Hooks hooks)
     : kernel(kernel)
     , ranking(ranking)
     , book(book)
@@ -35,8 +35,8 @@
 {
     auto const machines = this->hooks.virtual_machines();
     if (standing == Standing::Alone)
-        return machines.part_of_each();
-    auto const part = static_cast<double>(std::max<std::size_t>(1, machines.live)) * machines.part_of_each();
+        return machines.share_of_each();
+    auto const part = static_cast<double>(std::max<std::size_t>(1, machines.live)) * machines.share_of_each();
     return this->ranking.is_own(upstream) ? part : part * STAND_IN_PART;
 }
 
@@ -51,7 +51,7 @@
     return this->pacer.take(ask.upstream, { paced, ask.longest_wait, ask.patience }, monotonic_now());
 }
 
-void UpstreamLimitCounter::give_back(std::string_view upstream) { this->pacer.give_back(upstream, monotonic_now()); }
+void UpstreamLimitCounter::give_back(std::string_view upstream) { this->pacer.return_turn(upstream, monotonic_now()); }
 
 void UpstreamLimitCounter::forget_unlimited()
 {
@@ -62,7 +62,7 @@
 {
     if (!this->hooks.is_listed(statement.upstream()))
         return;
-    if (take_statement(statement, this->book, monotonic_now()) == UpstreamLimitBook::Change::InForce)
+    if (take_statement(statement, this->book, monotonic_now()) == UpstreamLimitTable::Change::InForce)
         LogLine("upstream_limit_heard").with("upstream", statement.upstream()).with("rate", statement.rate()).with("age_ms", statement.age_microseconds() / 1000);
 }
 
--- a/Libraries/LibRouter/UpstreamUse.cpp
+++ b/Libraries/LibRouter/UpstreamUse.cpp
@@ -22,12 +22,12 @@
 {
     if (this->watch != this->watched->end())
         this->watched->erase(this->watch);
-    this->tracker->note_over(this->record.identity);
+    this->tracker->note_finished(this->record.identity);
 }
 
 void UpstreamUse::note_heard()
 {
-    this->tracker->note_heard(this->record.identity, monotonic_now());
+    this->tracker->note_response(this->record.identity, monotonic_now());
 }
 
 }
--- a/Services/ConfigServer/MembershipService.cpp
+++ b/Services/ConfigServer/MembershipService.cpp
@@ -71,29 +71,29 @@
         this->probe(target, this->endpoint_of(target), 1);
 }
 
-bool MembershipService::is_cut_off() const { return this->cut_detector.is_cut_off(monotonic_now()); }
+bool MembershipService::is_cut_off() const { return this->partition_detector.is_cut_off(monotonic_now()); }
 
 VirtualMachineCount MembershipService::count() const
 {
     if (this->is_cut_off())
-        return this->table.count_within(this->data_centre_of(this->table.self()), this->data_centre_of);
+        return this->table.count_in_partition(this->data_centre_of(this->table.self()), this->data_centre_of);
     return this->table.count();
 }
 
-void MembershipService::note_unanswered(std::string const& virtual_machine)
+void MembershipService::note_probe_failure(std::string const& virtual_machine)
 {
     auto const member = this->table.find(virtual_machine);
     if (!member || !this->is_elsewhere(*member))
         return;
     auto const live = this->table.live_members();
-    this->cut_detector.note_unanswered(virtual_machine, static_cast<std::size_t>(std::count_if(live.begin(), live.end(), [this](auto const& other) { return this->is_elsewhere(other); })));
+    this->partition_detector.note_probe_failure(virtual_machine, static_cast<std::size_t>(std::count_if(live.begin(), live.end(), [this](auto const& other) { return this->is_elsewhere(other); })));
 }
 
 void MembershipService::note_heard(std::string const& virtual_machine)
 {
     auto const member = this->table.find(virtual_machine);
     if (member && this->is_elsewhere(*member))
-        this->cut_detector.note_heard(monotonic_now());
+        this->partition_detector.note_message(monotonic_now());
     auto const now = monotonic_now();
     // What it knows of the others may be as old as its solitude.
     if (this->last_heard && !this->has_company())
@@ -193,12 +193,12 @@
             when_answered();
         if (!reply.is_error() && reply.value().has_heartbeat_reply())
             return this->take_answer(reply.value().heartbeat_reply(), endpoint);
-        this->note_unanswered(virtual_machine);
+        this->note_probe_failure(virtual_machine);
         if (tries_left > 1)
             return this->probe(virtual_machine, endpoint, tries_left - 1);
         if (virtual_machine.empty() || reply.error().kind == WireErrorKind::Stopped)
             return;
-        if (this->table.note_no_answer(virtual_machine, monotonic_now()) == MembershipTable::Doubt::Known)
+        if (this->table.mark_suspect(virtual_machine, monotonic_now()) == MembershipTable::Suspicion::Known)
             return;
         LogLine("member_unanswered").with("member", virtual_machine);
         this->refresh_directory();
@@ -308,9 +308,9 @@
 void MembershipService::answer_keys(wire::Heartbeat const& heartbeat, std::size_t most, wire::HeartbeatReply& reply) const
 {
     auto const difference = this->table.compare_keys(heartbeat.vm(), { heartbeat.keys().data(), static_cast<std::size_t>(heartbeat.keys_size()) }, most);
-    for (auto const& record : difference.lacking)
+    for (auto const& record : difference.missing_records)
         write_record(record, *reply.add_records());
-    for (auto const key : difference.wanted)
+    for (auto const key : difference.unknown_keys)
         reply.add_wanted_keys(key);
 }
 
--- a/Services/ConfigServer/MembershipService.h
+++ b/Services/ConfigServer/MembershipService.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
-#include <LibDecision/CutDetector.h>
-#include <LibDecision/EvacuationBook.h>
+#include <LibDecision/EvacuationTable.h>
 #include <LibDecision/MembershipTable.h>
+#include <LibDecision/PartitionDetector.h>
 #include <LibWire/Kernel.h>
 #include <functional>
 #include <map>
@@ -72,7 +72,7 @@
     }
 
     /// Makes evacuations part of the heartbeats, so that a VM hears of them from any other that it reaches.
-    void set_evacuation_hooks(std::function<EvacuationBook const&()> book, std::function<void(EvacuationNews const&)> on_told)
+    void set_evacuation_hooks(std::function<EvacuationTable const&()> book, std::function<void(EvacuationUpdate const&)> on_told)
     {
         this->evacuations = std::move(book);
         this->on_evacuations = std::move(on_told);
@@ -117,7 +117,7 @@
     void tell_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation>& messages) const;
     void hear_evacuations(google::protobuf::RepeatedPtrField<wire::Evacuation> const& messages);
     void note_heard(std::string const& virtual_machine);
-    void note_unanswered(std::string const& virtual_machine);
+    void note_probe_failure(std::string const& virtual_machine);
     /// Whether the VM is of another data centre.
     bool is_elsewhere(MemberRecord const& member) const { return this->data_centre_of(member) != this->data_centre_of(this->table.self()); }
     void answer_keys(wire::Heartbeat const& heartbeat, std::size_t most, wire::HeartbeatReply& reply) const;
@@ -139,15 +139,15 @@
     std::function<std::uint64_t()> quarantine_digest = [] { return std::uint64_t(0); };
     std::function<void(std::string const& endpoint, std::uint64_t digest)> on_quarantine_digest = [](auto const&, auto) {};
     /// Empty where there are none to tell of.
-    std::function<EvacuationBook const&()> evacuations;
-    std::function<void(EvacuationNews const&)> on_evacuations;
+    std::function<EvacuationTable const&()> evacuations;
+    std::function<void(EvacuationUpdate const&)> on_evacuations;
     MembershipTable table;
     MonotonicTime started_at;
     MonotonicTime joining_until;
     MonotonicTime last_compared;
     std::optional<MonotonicTime> last_heard;
     MembershipTable::DataCentreOf data_centre_of = [](auto const&) { return std::string(); };
-    CutDetector cut_detector { CutDetector::Options {} };
+    PartitionDetector partition_detector { PartitionDetector::Options {} };
     std::map<std::string, LocalProcess> processes;
     std::vector<std::string> leaving_machines;
 };
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -113,7 +113,7 @@
     this->membership = std::make_unique<MembershipService>(
         members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->hear_of_configuration(endpoint, version); });
     this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->hear_of_upstreams(endpoint, version); });
-    this->membership->set_evacuation_hooks([this]() -> EvacuationBook const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
+    this->membership->set_evacuation_hooks([this]() -> EvacuationTable const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
     KeeperRanking::Hooks ranking_hooks;
@@ -136,11 +136,11 @@
     this->state.placement = this->placement.get();
     this->state.sending_machines = [this] { return this->membership->sending_machines(); };
     this->state.retry_allowance_part = [this] { return this->retry_allowance_part(); };
-    this->state.stop_time = [this]() -> std::optional<StopTime> {
+    this->state.stop_time = [this]() -> std::optional<StopProgress> {
         if (!this->is_stopping)
             return {};
         auto const whole = this->settings.stop_grace - STOP_MARGIN;
-        return StopTime { std::chrono::duration_cast<Duration>(this->stop_began + whole - monotonic_now()), whole };
+        return StopProgress { std::chrono::duration_cast<Duration>(this->stop_began + whole - monotonic_now()), whole };
     };
     this->host_services();
 
@@ -202,7 +202,7 @@
     bool const may_have_used_it = this->settings.start == NodeSettings::Start::Again && monotonic_now() - this->started_at < this->settings.retry.window;
     if (may_have_used_it || !this->membership->is_settled())
         return 0;
-    return this->membership->count().part_of_each();
+    return this->membership->count().share_of_each();
 }
 
 QuotaCounter::VirtualMachines Node::count_virtual_machines() const
@@ -299,7 +299,7 @@
     };
     hooks.on_upstreams_state = [this](auto registry) {
         // One that the registry turns away and others tell of it knows as much as one that leaves watching to them.
-        if (registry == UpstreamList::RegistryState::Well || !this->relay->is_told())
+        if (registry == UpstreamList::RegistryState::Available || !this->relay->is_told())
             this->state.upstreams.note_registry(registry, monotonic_now());
     };
     hooks.on_call = [this](auto what, auto result) {
@@ -321,7 +321,7 @@
     hooks.configuration_version = [this] { return this->configuration_version(); };
     hooks.follows_configuration = [this] { return this->state.routes && this->follower->follows_configuration(); };
     hooks.follows_upstreams = [this] { return this->follower->follows_upstreams(); };
-    hooks.company = [this] { return this->membership->has_company() ? WatchPlan::Company::Others : WatchPlan::Company::None; };
+    hooks.company = [this] { return this->membership->has_company() ? WatchPlan::PeerReachability::Some : WatchPlan::PeerReachability::None; };
     return hooks;
 }
 
@@ -367,9 +367,9 @@
     return count;
 }
 
-void Node::adopt_evacuations(EvacuationNews const& news, std::string_view source)
+void Node::adopt_evacuations(EvacuationUpdate const& news, std::string_view source)
 {
-    auto const changes = this->state.upstreams.take(news);
+    auto const changes = this->state.upstreams.merge(news);
     if (changes.empty())
         return;
     for (auto const& change : changes) {
@@ -474,7 +474,7 @@
 {
     auto const now = monotonic_now();
     if (this->state.routes)
-        this->state.pool.set_resting_limit(resting_connections_of_each(this->state.routes->configuration().services, this->membership->count()));
+        this->state.pool.set_resting_limit(idle_connections_per_virtual_machine(this->state.routes->configuration().services, this->membership->count()));
     this->state.pool.sweep(now);
 }
 
@@ -499,7 +499,7 @@
     if (is_cut_off != this->was_cut_off)
         LogLine(is_cut_off ? "data_centre_cut_off" : "data_centre_reached_others");
     this->was_cut_off = is_cut_off;
-    this->state.reachability->set_confinement(is_cut_off ? ReachabilityTracker::Confinement::OwnDataCentre : ReachabilityTracker::Confinement::None, now);
+    this->state.reachability->set_isolation(is_cut_off ? ReachabilityTracker::Isolation::OwnDataCentre : ReachabilityTracker::Isolation::None, now);
 }
 
 void Node::stop(std::function<void()> when_done)
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -82,7 +82,7 @@
     void adopt(ConfigurationDocument const& document, std::string_view source);
     void adopt_accounts();
     std::size_t count_upstreams(std::string_view data_centre) const;
-    void adopt_evacuations(EvacuationNews const& news, std::string_view source);
+    void adopt_evacuations(EvacuationUpdate const& news, std::string_view source);
     void engines_changed();
     asio::awaitable<void> answer_operations(HttpExchange& exchange);
     void serve_metrics();
@@ -104,7 +104,7 @@
     std::unique_ptr<PlacementClient> placement;
     std::unique_ptr<QuotaCounter> quota_counter;
     std::unique_ptr<QuotaClient> quota;
-    UpstreamLimitBook upstream_limits;
+    UpstreamLimitTable upstream_limits;
     std::unique_ptr<UpstreamLimitCounter> limit_counter;
     std::unique_ptr<UpstreamLimiter> limiter;
     std::unique_ptr<QuarantineKeeper> quarantine;
--- a/Tests/LibDecision/TestMembershipTable.cpp
+++ b/Tests/LibDecision/TestMembershipTable.cpp
@@ -27,7 +27,7 @@
     return { { "directory", "tcp://" + name + ":1", name + ".1" }, { "placement", "tcp://" + name + ":2", name + ".2" } };
 }
 
-/// VMs that gossip in virtual time, two peers a second, with seeded loss.
+/// VMs that gossip in virtual time, with two peers a second and seeded message loss.
 class Gossip {
 public:
     explicit Gossip(int count, std::uint64_t seed, double loss = 0)
@@ -37,11 +37,11 @@
         for (int i = 0; i < count; ++i) {
             this->names.push_back("vm-" + std::to_string(i));
             this->tables.emplace_back(MembershipTable::Options {}, record(this->names.back()));
-            this->silent.push_back(false);
+            this->unresponsive.push_back(false);
         }
     }
 
-    void acquaint()
+    void introduce_all()
     {
         std::vector<MemberRecord> records;
         for (auto const& name : this->names)
@@ -53,11 +53,11 @@
     void run_second(MonotonicTime now)
     {
         for (std::size_t i = 0; i < this->tables.size(); ++i) {
-            if (this->silent[i])
+            if (this->unresponsive[i])
                 continue;
             this->tables[i].update_self(services(this->names[i]), 1);
             this->tables[i].advance(now);
-            // VM 0 is everybody's seed.
+            // VM 0 is the seed of all others.
             if (i != 0 && !this->tables[i].find(this->names[0]))
                 this->exchange(i, 0, now);
             for (auto const& target : this->tables[i].next_targets(2))
@@ -71,11 +71,11 @@
             this->run_second(at_milliseconds(from_second * 1000));
     }
 
-    bool everyone_sees(std::string const& name, MemberLife life) const
+    bool everyone_sees(std::string const& name, MemberLiveness liveness) const
     {
         for (std::size_t i = 0; i < this->tables.size(); ++i) {
             auto const seen = this->tables[i].find(name);
-            if (!this->silent[i] && this->names[i] != name && (!seen || seen->life != life))
+            if (!this->unresponsive[i] && this->names[i] != name && (!seen || seen->liveness != liveness))
                 return false;
         }
         return true;
@@ -83,7 +83,7 @@
 
     std::vector<std::string> names;
     std::vector<MembershipTable> tables;
-    std::vector<bool> silent;
+    std::vector<bool> unresponsive;
 
 private:
     bool is_lost()
@@ -98,7 +98,7 @@
             if (this->exchange(from, to, now))
                 return;
         }
-        this->tables[from].note_no_answer(target, now);
+        this->tables[from].mark_suspect(target, now);
     }
 
     void send(std::size_t from, std::size_t to, MonotonicTime now)
@@ -112,10 +112,10 @@
         this->tables[to].merge_records(records, now);
     }
 
-    /// True where the answer came.
+    /// Returns true if the acknowledgement arrived.
     bool exchange(std::size_t from, std::size_t to, MonotonicTime now)
     {
-        if (from == to || this->silent[to] || this->is_lost())
+        if (from == to || this->unresponsive[to] || this->is_lost())
             return false;
         bool const is_new = !this->tables[to].find(this->names[from]);
         this->send(from, to, now);
@@ -133,26 +133,26 @@
 
 }
 
-TEST_CASE("VMs find each other, and a silent one is suspect, then dead, everywhere", "[held][kill]")
+TEST_CASE("VMs find each other, and an unresponsive VM is suspect, then dead, on all others", "[held][kill]")
 {
     for (int const count : { 2, 8, 13, 40, 100 }) {
         CAPTURE(count);
         Gossip gossip(count, 11);
         gossip.run(0, 30);
         for (auto const& name : gossip.names)
-            REQUIRE(gossip.everyone_sees(name, MemberLife::Alive));
-        gossip.silent[0] = true;
+            REQUIRE(gossip.everyone_sees(name, MemberLiveness::Alive));
+        gossip.unresponsive[0] = true;
         std::int64_t second = 30;
-        while (!gossip.everyone_sees("vm-0", MemberLife::Dead)) {
+        while (!gossip.everyone_sees("vm-0", MemberLiveness::Dead)) {
             gossip.run_second(at_milliseconds(second++ * 1000));
             REQUIRE(second - 30 <= 12);
         }
-        // Not before the suspicion has lasted its three seconds.
+        // Not before the suspicion timeout of three seconds.
         CHECK(second - 30 >= 4);
     }
 }
 
-TEST_CASE("Loss of a tenth of the messages declares nobody dead", "[held][cut]")
+TEST_CASE("Losing a tenth of the messages causes no VM to be declared dead", "[held][cut]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         for (int const count : { 13, 40 }) {
@@ -161,7 +161,7 @@
                 gossip.run_second(at_milliseconds(second * 1000));
                 for (auto const& table : gossip.tables) {
                     for (auto const& member : table.all_members())
-                        REQUIRE(member.life != MemberLife::Dead);
+                        REQUIRE(member.liveness != MemberLiveness::Dead);
                 }
             }
         }
@@ -172,40 +172,40 @@
 {
     Gossip gossip(13, 4);
     gossip.run(0, 20);
-    gossip.silent[5] = true;
+    gossip.unresponsive[5] = true;
     gossip.run(20, 23);
-    gossip.silent[5] = false;
+    gossip.unresponsive[5] = false;
     for (std::int64_t second = 23; second < 40; ++second) {
         gossip.run(second, second + 1);
-        REQUIRE_FALSE(gossip.everyone_sees("vm-5", MemberLife::Dead));
+        REQUIRE_FALSE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
     }
-    CHECK(gossip.everyone_sees("vm-5", MemberLife::Alive));
+    CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
-TEST_CASE("A VM that wakes after it was declared dead is alive again everywhere", "[held][freeze][lapsed-lease]")
+TEST_CASE("A VM that resumes after it was declared dead is alive again on all others", "[held][freeze][lapsed-lease]")
 {
     Gossip gossip(13, 4);
     gossip.run(0, 20);
-    gossip.silent[5] = true;
+    gossip.unresponsive[5] = true;
     gossip.run(20, 40);
-    REQUIRE(gossip.everyone_sees("vm-5", MemberLife::Dead));
-    gossip.silent[5] = false;
+    REQUIRE(gossip.everyone_sees("vm-5", MemberLiveness::Dead));
+    gossip.unresponsive[5] = false;
     gossip.run(40, 50);
-    CHECK(gossip.everyone_sees("vm-5", MemberLife::Alive));
+    CHECK(gossip.everyone_sees("vm-5", MemberLiveness::Alive));
 }
 
-TEST_CASE("The heartbeat's size does not grow with the data centre")
+TEST_CASE("The size of a heartbeat does not grow with the number of VMs")
 {
     for (int const count : { 13, 40, 100 }) {
         Gossip gossip(count, 3);
         gossip.run(0, 60);
         CHECK(gossip.tables[0].digests_for("vm-1").size() <= 10);
-        // Where nothing changes there is no news: the own digest is all.
+        // Without any updates only the VM's own digest is sent.
         CHECK(gossip.tables[0].digests_for("vm-1").size() == 1);
     }
 }
 
-TEST_CASE("An older record or digest changes nothing")
+TEST_CASE("An outdated record or digest is ignored")
 {
     MembershipTable table({}, record("vm-0"));
     auto newer = record("vm-1", 5);
@@ -217,51 +217,51 @@
     older.services = services("old");
     table.merge_records(std::vector { older }, at_milliseconds(1));
     CHECK(table.find("vm-1")->services == services("new"));
-    CHECK(table.merge_digests(std::vector { MemberDigest { "vm-1", 4, 100, MemberLife::Dead, 0 } }, at_milliseconds(2)).empty());
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.merge_digests(std::vector { MemberDigest { "vm-1", 4, 100, MemberLiveness::Dead, 0 } }, at_milliseconds(2)).empty());
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
-TEST_CASE("A suspicion is refuted by the VM's own raised version alone")
+TEST_CASE("Only the VM itself can refute a suspicion, with a higher version")
 {
     MembershipTable table({}, record("vm-0"));
     MembershipTable other({}, record("vm-1"));
     table.merge_records(std::vector { other.self() }, at_milliseconds(0));
-    table.note_no_answer("vm-1", at_milliseconds(0));
-    REQUIRE(table.find("vm-1")->life == MemberLife::Suspect);
+    table.mark_suspect("vm-1", at_milliseconds(0));
+    REQUIRE(table.find("vm-1")->liveness == MemberLiveness::Suspect);
     table.merge_records(std::vector { other.self() }, at_milliseconds(10));
-    CHECK(table.find("vm-1")->life == MemberLife::Suspect);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Suspect);
     other.merge_digests(table.digests_for("vm-1"), at_milliseconds(20));
     CHECK(table.merge_digests(other.digests_for("vm-0"), at_milliseconds(30)) == std::vector<std::string> { "vm-1" });
     table.merge_records(std::vector { other.self() }, at_milliseconds(40));
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
     table.advance(at_milliseconds(10'000));
-    CHECK(table.find("vm-1")->life == MemberLife::Alive);
+    CHECK(table.find("vm-1")->liveness == MemberLiveness::Alive);
 }
 
-TEST_CASE("A VM that hears a newer record of itself outbids it")
+TEST_CASE("A VM that receives a newer record of itself supersedes it")
 {
     MembershipTable table({}, record("vm-0", 5));
-    table.merge_digests(std::vector { MemberDigest { "vm-0", 7, 1000, MemberLife::Alive, 0 } }, at_milliseconds(0));
+    table.merge_digests(std::vector { MemberDigest { "vm-0", 7, 1000, MemberLiveness::Alive, 0 } }, at_milliseconds(0));
     CHECK(table.self().incarnation == 7);
     CHECK(table.self().version == 1001);
 }
 
-TEST_CASE("Leaving is told by the VM itself and stays until it is gone", "[planned-stop]")
+TEST_CASE("Leaving is announced by the VM itself and lasts until it is gone", "[planned-stop]")
 {
     Gossip gossip(8, 5);
     gossip.run(0, 20);
     gossip.tables[3].leave();
     gossip.run(20, 30);
-    CHECK(gossip.everyone_sees("vm-3", MemberLife::Leaving));
-    gossip.silent[3] = true;
+    CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Leaving));
+    gossip.unresponsive[3] = true;
     gossip.run(30, 45);
-    CHECK(gossip.everyone_sees("vm-3", MemberLife::Dead));
+    CHECK(gossip.everyone_sees("vm-3", MemberLiveness::Dead));
 }
 
 namespace {
 
-/// VMs that all start within 0.3 s, as after a power cut, and meet through three seeds. Steps of 10 ms; messages arrive
-/// within a step. Counts what each sends of keys and records.
+/// VMs that all start within 0.3 s, as after a power failure, and find each other through three seeds. Simulated in
+/// steps of 10 ms, with messages that arrive within a step. Counts the bytes of keys and records that each VM sends.
 class FleetStart {
 public:
     explicit FleetStart(int count)
@@ -277,7 +277,7 @@
     {
         for (; this->now < until; this->now += STEP) {
             for (std::size_t i = 0; i < this->machines.size(); ++i)
-                this->turn(i);
+                this->run_step(i);
         }
     }
 
@@ -302,7 +302,7 @@
     std::int64_t now = 0;
 
 private:
-    void turn(std::size_t index)
+    void run_step(std::size_t index)
     {
         auto& machine = this->machines[index];
         auto const age = this->now - machine.start;
@@ -311,40 +311,40 @@
         if (age % 500 == 0) {
             for (std::size_t seed = 0; seed < SEEDS; ++seed) {
                 if (seed != index && !machine.table.find(this->machines[seed].name))
-                    this->compare(index, seed);
+                    this->exchange_keys(index, seed);
             }
         }
         if (age % 150 == 0 && age <= 1500) {
             for (auto const& target : machine.table.next_targets(1))
-                this->compare(index, static_cast<std::size_t>(std::stoi(target.substr(3))));
+                this->exchange_keys(index, static_cast<std::size_t>(std::stoi(target.substr(3))));
         }
     }
 
-    void compare(std::size_t from, std::size_t to)
+    void exchange_keys(std::size_t from, std::size_t to)
     {
         auto const time = at_milliseconds(this->now);
-        auto& asks = this->machines[from];
-        auto& answers = this->machines[to];
-        if (this->now < answers.start)
+        auto& asker = this->machines[from];
+        auto& responder = this->machines[to];
+        if (this->now < responder.start)
             return;
-        auto const keys = asks.table.keys();
-        bool const is_new = !answers.table.find(asks.name);
-        std::vector<MemberRecord> const own = { asks.table.self() };
-        answers.table.merge_records(own, time);
-        auto const difference = answers.table.compare_keys(asks.name, keys, is_new ? 24 : 96);
-        asks.table.merge_records(difference.lacking, time);
-        auto const told = asks.table.records_of(difference.wanted);
-        answers.table.merge_records(told, time);
-        asks.sent_bytes += keys.size() * KEY_BYTES + (told.size() + 1) * RECORD_BYTES;
-        answers.sent_bytes += difference.lacking.size() * RECORD_BYTES + difference.wanted.size() * KEY_BYTES;
+        auto const keys = asker.table.keys();
+        bool const is_new = !responder.table.find(asker.name);
+        std::vector<MemberRecord> const own = { asker.table.self() };
+        responder.table.merge_records(own, time);
+        auto const difference = responder.table.compare_keys(asker.name, keys, is_new ? 24 : 96);
+        asker.table.merge_records(difference.missing_records, time);
+        auto const received = asker.table.records_of(difference.unknown_keys);
+        responder.table.merge_records(received, time);
+        asker.sent_bytes += keys.size() * KEY_BYTES + (received.size() + 1) * RECORD_BYTES;
+        responder.sent_bytes += difference.missing_records.size() * RECORD_BYTES + difference.unknown_keys.size() * KEY_BYTES;
     }
 };
 
 }
 
-// All VMs of a large deployment come back from a power cut together. A list of 350 VMs from each of three seeds to each VM
-// would be 55 MB through three links of 2.5 MB/s.
-TEST_CASE("Hundreds of VMs that start together all know each other within a second and a half", "[kill][power]")
+// All VMs of a large deployment restart together after a power failure. If each of the three seeds sent its list of 350
+// VMs to each VM, 55 MB would have to pass through three links of 2.5 MB/s.
+TEST_CASE("Hundreds of VMs that start together all know each other within 1.5 seconds", "[kill][power]")
 {
     FleetStart fleet(350);
     fleet.run(300 + 1500);
@@ -357,29 +357,29 @@
     CHECK(usual < 300'000);
 }
 
-TEST_CASE("A peer tells what a VM lacks, asks for what it lacks itself, and tells nobody of the dead")
+TEST_CASE("A peer sends the records that a VM is missing, requests those it is missing itself, and omits dead VMs")
 {
     MembershipTable table(MembershipTable::Options {}, record("vm-0"));
     std::vector<MemberRecord> const known = { record("vm-1"), record("vm-2", 5), record("vm-3") };
     table.merge_records(known, at_milliseconds(0));
-    CHECK(table.note_no_answer("vm-3", at_milliseconds(0)) == MembershipTable::Doubt::New);
-    CHECK(table.note_no_answer("vm-3", at_milliseconds(100)) == MembershipTable::Doubt::Known);
+    CHECK(table.mark_suspect("vm-3", at_milliseconds(0)) == MembershipTable::Suspicion::New);
+    CHECK(table.mark_suspect("vm-3", at_milliseconds(100)) == MembershipTable::Suspicion::Known);
     table.advance(at_milliseconds(4000));
     CHECK(table.keys().size() == 3);
-    // The asker has an earlier start of vm-2, and a VM that is not known here.
+    // The peer has an earlier incarnation of vm-2 and knows a VM that is unknown here.
     std::vector<std::uint64_t> const keys = { member_key(record("vm-9")), member_key(record("vm-2", 4)), member_key(record("vm-0")), member_key(record("vm-1")) };
     auto const difference = table.compare_keys("vm-9", keys, 10);
-    REQUIRE(difference.lacking.size() == 1);
-    CHECK(difference.lacking[0].virtual_machine == "vm-2");
-    CHECK(difference.wanted.size() == 2);
-    CHECK(table.compare_keys("vm-9", {}, 2).lacking.size() == 2);
-    CHECK(table.compare_keys("vm-9", {}, 0).lacking.empty());
+    REQUIRE(difference.missing_records.size() == 1);
+    CHECK(difference.missing_records[0].virtual_machine == "vm-2");
+    CHECK(difference.unknown_keys.size() == 2);
+    CHECK(table.compare_keys("vm-9", {}, 2).missing_records.size() == 2);
+    CHECK(table.compare_keys("vm-9", {}, 0).missing_records.empty());
     CHECK(table.records_of(keys).size() == 2);
 }
 
 namespace {
 
-/// The VMs "own-1" and "own-2" of one data centre and "far-1" and "far-2" of another, as "own-1" knows them.
+/// The VMs "own-1" and "own-2" of one data centre and "far-1" and "far-2" of another, as seen by "own-1".
 class TwoDataCentres {
 public:
     TwoDataCentres()
@@ -388,15 +388,15 @@
         this->table.merge_records(others, this->now);
     }
 
-    /// Doubts the VMs and lets the time pass.
-    void lose(std::initializer_list<char const*> names, Duration passed)
+    /// Suspects the VMs and advances the time.
+    void suspect(std::initializer_list<char const*> names, Duration passed)
     {
         for (auto const* name : names)
-            this->table.note_no_answer(name, this->now);
-        this->pass(passed);
+            this->table.mark_suspect(name, this->now);
+        this->elapse(passed);
     }
 
-    void pass(Duration passed)
+    void elapse(Duration passed)
     {
         auto const until = this->now + passed;
         for (; this->now < until; this->now += seconds(1))
@@ -405,12 +405,12 @@
 
     static std::string data_centre_of(MemberRecord const& member) { return member.virtual_machine.substr(0, 3); }
 
-    void tell(std::string const& name, MemberLife life, std::int64_t version)
+    void receive(std::string const& name, MemberLiveness liveness, std::int64_t version)
     {
-        auto told = record(name);
-        told.life = life;
-        told.version = version;
-        this->table.merge_records(std::array { told }, this->now);
+        auto received = record(name);
+        received.liveness = liveness;
+        received.version = version;
+        this->table.merge_records(std::array { received }, this->now);
     }
 
     MembershipTable table { MembershipTable::Options {}, record("own-1") };
@@ -419,67 +419,67 @@
 
 }
 
-TEST_CASE("Those who share something count VMs that fell silent, suspected or dead", "[retry-budget][quota][cut]")
+TEST_CASE("VMs that are suspect or dead keep their share of a common limit", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
     CHECK(test.table.count() == VirtualMachineCount { 4, 0 });
-    CHECK(test.table.count().part_of_each() == 0.25);
-    test.lose({ "far-1" }, seconds(1));
+    CHECK(test.table.count().share_of_each() == 0.25);
+    test.suspect({ "far-1" }, seconds(1));
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
-    test.pass(seconds(5));
-    REQUIRE(test.table.find("far-1")->life == MemberLife::Dead);
+    test.elapse(seconds(5));
+    REQUIRE(test.table.find("far-1")->liveness == MemberLiveness::Dead);
     CHECK(test.table.count() == VirtualMachineCount { 3, 1 });
-    CHECK(test.table.count().part_of_each() == 0.25);
+    CHECK(test.table.count().share_of_each() == 0.25);
 }
 
-// The pattern: regions lose each other for an hour, and both go on.
-TEST_CASE("The VMs of a data centre that is silent as a whole count for as long as it is", "[retry-budget][quota][cut]")
+// Regions are partitioned from each other for an hour, and both sides go on serving.
+TEST_CASE("VMs of an unresponsive data centre are counted for as long as none of it responds", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
-    test.lose({ "far-1", "far-2" }, seconds(3600));
+    test.suspect({ "far-1", "far-2" }, seconds(3600));
     CHECK(test.table.count() == VirtualMachineCount { 2, 2 });
-    // One is back, and what becomes of the other is known now.
-    test.tell("far-1", MemberLife::Alive, 1);
-    test.pass(seconds(2));
+    // One VM of the data centre responds again, so the other one is known to be dead.
+    test.receive("far-1", MemberLiveness::Alive, 1);
+    test.elapse(seconds(2));
     CHECK(test.table.count() == VirtualMachineCount { 3, 0 });
 }
 
-TEST_CASE("On a side that is cut off the others are missing before each of them is suspected", "[retry-budget][quota][cut]")
+TEST_CASE("On the isolated side of a partition the other VMs are missing before each of them is suspected", "[retry-budget][quota][cut]")
 {
     TwoDataCentres test;
-    CHECK(test.table.count_within("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
-    test.lose({ "far-1" }, seconds(1));
-    CHECK(test.table.count_within("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
+    CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
+    test.suspect({ "far-1" }, seconds(1));
+    CHECK(test.table.count_in_partition("own", TwoDataCentres::data_centre_of) == VirtualMachineCount { 2, 2 });
 }
 
-TEST_CASE("A VM that is lost in a data centre that answers is forgotten", "[kill]")
+TEST_CASE("A dead VM of a data centre that responds is forgotten", "[kill]")
 {
     TwoDataCentres test;
-    test.lose({ "own-2", "far-1" }, seconds(200));
+    test.suspect({ "own-2", "far-1" }, seconds(200));
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
     CHECK_FALSE(test.table.find("own-2"));
 }
 
-TEST_CASE("A VM that left as planned is no loss, and one that comes back and is lost is", "[planned-stop]")
+TEST_CASE("A VM that left as planned is not missing, and one that returns and dies is", "[planned-stop]")
 {
     TwoDataCentres test;
-    test.tell("far-1", MemberLife::Leaving, 1);
-    test.tell("far-2", MemberLife::Leaving, 1);
+    test.receive("far-1", MemberLiveness::Leaving, 1);
+    test.receive("far-2", MemberLiveness::Leaving, 1);
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
-    test.lose({ "far-1", "far-2" }, seconds(10));
+    test.suspect({ "far-1", "far-2" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 0 });
-    test.tell("far-1", MemberLife::Alive, 2);
-    test.lose({ "far-1" }, seconds(10));
+    test.receive("far-1", MemberLiveness::Alive, 2);
+    test.suspect({ "far-1" }, seconds(10));
     CHECK(test.table.count() == VirtualMachineCount { 2, 1 });
-    // The other's data centre is silent, but it went by its own will.
-    test.pass(seconds(3600));
+    // The other VM's data centre does not respond, but that VM left as planned.
+    test.elapse(seconds(3600));
     CHECK_FALSE(test.table.find("far-2"));
 }
 
 namespace {
 
-/// VMs that know each other already.
-std::vector<MembershipTable> acquainted(std::size_t count)
+/// VMs that know each other from the start.
+std::vector<MembershipTable> make_connected_tables(std::size_t count)
 {
     std::vector<MemberRecord> records;
     for (std::size_t i = 0; i < count; ++i)
@@ -494,10 +494,10 @@
 
 }
 
-TEST_CASE("The VMs that one VM probes are as many among a thousand as among a hundred, and each is probed by some", "[fleet]")
+TEST_CASE("The number of VMs that a VM probes is independent of the number of VMs, and each is probed by some", "[fleet]")
 {
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
-    auto tables = acquainted(count);
+    auto tables = make_connected_tables(count);
     std::map<std::string, std::size_t> probed_by;
     for (auto& table : tables) {
         std::set<std::string> probed;
@@ -517,9 +517,9 @@
 TEST_CASE("A suspect is probed by some VMs in each period, not by all of a thousand", "[fleet][freeze]")
 {
     auto const count = static_cast<std::size_t>(GENERATE(100, 1000));
-    auto tables = acquainted(count);
+    auto tables = make_connected_tables(count);
     for (auto& table : tables)
-        table.note_no_answer("vm-7", at_milliseconds(0));
+        table.mark_suspect("vm-7", at_milliseconds(0));
     for (int period = 0; period < 5; ++period) {
         std::size_t probes = 0;
         for (auto& table : tables) {
@@ -531,15 +531,15 @@
     }
 }
 
-TEST_CASE("Among three hundred a silent VM is dead everywhere as soon as among thirty", "[fleet][kill]")
+TEST_CASE("An unresponsive VM is dead on all others as soon among 300 VMs as among 30", "[fleet][kill]")
 {
     auto const count = GENERATE(30, 300);
     Gossip gossip(count, 11);
-    gossip.acquaint();
-    // The news that all started have gone round.
+    gossip.introduce_all();
+    // By then the updates about all VMs have been transmitted.
     gossip.run(0, 40);
-    REQUIRE(gossip.everyone_sees("vm-23", MemberLife::Alive));
-    gossip.silent[23] = true;
+    REQUIRE(gossip.everyone_sees("vm-23", MemberLiveness::Alive));
+    gossip.unresponsive[23] = true;
     gossip.run(40, 50);
-    CHECK(gossip.everyone_sees("vm-23", MemberLife::Dead));
+    CHECK(gossip.everyone_sees("vm-23", MemberLiveness::Dead));
 }
--- a/Tests/LibDecision/TestCutDetector.cpp
+++ b/Tests/LibDecision/TestPartitionDetector.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/CutDetector.h>
+#include <LibDecision/PartitionDetector.h>
 #include <Tests/Support/VirtualClock.h>
 #include <catch2/catch.hpp>
 #include <random>
@@ -10,7 +10,7 @@
 using namespace Spurtide;
 using namespace Spurtide::Tests;
 
-TEST_CASE("Several silent VMs and no word from elsewhere are a cut, fewer are not", "[cut]")
+TEST_CASE("Several unresponsive VMs and no message from elsewhere are a partition, fewer are not", "[cut]")
 {
     struct Row {
         std::string name;
@@ -28,40 +28,41 @@
         { "too few tries", { "a", "b", "c", "d", "e" }, 9, 5000, false },
     }));
     CAPTURE(row.name);
-    CutDetector detector({});
-    detector.note_heard(at_milliseconds(0));
+    PartitionDetector detector({});
+    detector.note_message(at_milliseconds(0));
     for (auto const& name : row.unanswered)
-        detector.note_unanswered(name, row.known_elsewhere);
+        detector.note_probe_failure(name, row.known_elsewhere);
     CHECK(detector.is_cut_off(at_milliseconds(row.silence)) == row.is_cut);
-    detector.note_heard(at_milliseconds(row.silence));
+    detector.note_message(at_milliseconds(row.silence));
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(row.silence + 5000)));
 }
 
-TEST_CASE("A VM that never heard of others knows of no cut")
+TEST_CASE("A VM that never received a message from elsewhere detects no partition")
 {
-    CutDetector detector({});
+    PartitionDetector detector({});
     for (auto const* name : { "a", "b", "c", "a", "b", "c", "d" })
-        detector.note_unanswered(name, 4);
+        detector.note_probe_failure(name, 4);
     CHECK_FALSE(detector.is_cut_off(at_milliseconds(60'000)));
 }
 
 namespace {
 
-/// VMs of several data centres that probe two others each half second, up to three times 150 ms apart, in steps of 10 ms.
+/// VMs of several data centres that probe two others every half second, with up to three attempts 150 ms apart, in
+/// steps of 10 ms.
 class ProbingFleet {
 public:
     ProbingFleet(std::size_t data_centres, std::size_t members, double dead, double loss, std::uint64_t seed)
         : members(members)
         , loss(loss)
         , random(seed)
-        , detectors(data_centres * members, CutDetector({}))
+        , detectors(data_centres * members, PartitionDetector({}))
         , offset(data_centres * members)
         , is_dead(data_centres * members)
     {
         for (std::size_t i = 0; i < this->detectors.size(); ++i) {
             this->offset[i] = static_cast<std::int64_t>(this->random() % 50) * 10;
             this->is_dead[i] = this->chance(dead);
-            this->detectors[i].note_heard(at_milliseconds(0));
+            this->detectors[i].note_message(at_milliseconds(0));
         }
     }
 
@@ -77,10 +78,10 @@
             std::erase_if(this->retries, [&](Retry const& retry) {
                 if (retry.at > this->now)
                     return false;
-                this->again.push_back(retry);
+                this->due.push_back(retry);
                 return true;
             });
-            for (auto const& retry : std::exchange(this->again, {}))
+            for (auto const& retry : std::exchange(this->due, {}))
                 this->send(retry.from, retry.to, retry.tries);
         }
     }
@@ -125,17 +126,17 @@
     void send(std::size_t from, std::size_t to, int tries)
     {
         bool const is_elsewhere = this->centre(from) != this->centre(to);
-        bool const is_parted = is_elsewhere && (this->centre(from) == this->cut || this->centre(to) == this->cut);
-        bool const arrives = !is_parted && !this->is_dead[to] && !this->chance(this->loss);
+        bool const is_blocked = is_elsewhere && (this->centre(from) == this->cut || this->centre(to) == this->cut);
+        bool const arrives = !is_blocked && !this->is_dead[to] && !this->chance(this->loss);
         if (arrives && is_elsewhere)
-            this->detectors[to].note_heard(at_milliseconds(this->now));
+            this->detectors[to].note_message(at_milliseconds(this->now));
         if (arrives && !this->chance(this->loss)) {
             if (is_elsewhere)
-                this->detectors[from].note_heard(at_milliseconds(this->now));
+                this->detectors[from].note_message(at_milliseconds(this->now));
             return;
         }
         if (is_elsewhere)
-            this->detectors[from].note_unanswered("vm-" + std::to_string(to), this->detectors.size() - this->members);
+            this->detectors[from].note_probe_failure("vm-" + std::to_string(to), this->detectors.size() - this->members);
         if (tries > 1)
             this->retries.push_back({ from, to, tries - 1, this->now + 150 });
     }
@@ -143,18 +144,18 @@
     std::size_t members;
     double loss;
     std::mt19937_64 random;
-    std::vector<CutDetector> detectors;
+    std::vector<PartitionDetector> detectors;
     std::vector<std::int64_t> offset;
     std::vector<bool> is_dead;
     std::vector<Retry> retries;
-    std::vector<Retry> again;
+    std::vector<Retry> due;
 };
 
 }
 
-// A data centre of 60 VMs is cut off from 240 others. Each VM sees a request each five seconds: by those alone none would know
-// before the cut is over.
-TEST_CASE("All VMs of a data centre that is cut off know it within two seconds, and all of them when it is over", "[cut]")
+// A data centre of 60 VMs is cut off from 240 others. Each VM receives a request every five seconds, so by failing
+// requests alone no VM would detect the partition before it heals.
+TEST_CASE("All VMs of a data centre that is cut off detect it within two seconds, and also when it is over", "[cut]")
 {
     ProbingFleet fleet(5, 60, 0.05, 0.01, 11);
     fleet.run(5000);
@@ -172,7 +173,7 @@
     CHECK(fleet.flagged(false) <= were_cut / 20);
 }
 
-TEST_CASE("Dead VMs and lost messages are no cut", "[cut][kill]")
+TEST_CASE("Dead VMs and lost messages are not a partition", "[cut][kill]")
 {
     struct Row {
         std::string name;
@@ -191,7 +192,8 @@
             worst = std::max(worst, fleet.flagged(false));
         }
         CAPTURE(seed);
-        // One in 25 at one moment at the most. Each does without the other data centres until it hears of one, some 0.3 s.
+        // At most one VM in 25 at a time is wrong. Each of these does without the other data centres until it receives
+        // a message from one, about 0.3 s later.
         CHECK(worst * 25 <= row.data_centres * row.members);
     }
 }
--- a/Tests/LibDecision/TestCrashLedger.cpp
+++ b/Tests/LibDecision/TestPoisonRequestDetector.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/CrashLedger.h>
+#include <LibDecision/PoisonRequestDetector.h>
 #include <Tests/Support/VirtualClock.h>
 #include <catch2/catch.hpp>
 #include <random>
@@ -13,19 +13,19 @@
 
 RequestFingerprint request_named(std::string_view body) { return RequestFingerprint::of({ "POST", "h.example", "/x", "", body }); }
 
-constexpr auto NOBODY_KNOWN = [](RequestFingerprint const&) { return false; };
+constexpr auto NONE_KNOWN = [](RequestFingerprint const&) { return false; };
 
-constexpr int ENDS = static_cast<int>(CrashLedger::Options {}.crashes_of_a_cause);
+constexpr int CRASH_THRESHOLD = static_cast<int>(PoisonRequestDetector::Options {}.crash_threshold);
 
-/// What operators put up with once a request was at so many ends.
-constexpr int SENDS_AFTER = 3;
+/// Further crashes that are acceptable once a request has reached the threshold.
+constexpr int MAXIMUM_EXTRA_CRASHES = 3;
 
-struct LedgerTest {
-    /// An upstream crashes, each request having been there for so long.
-    void crash(std::vector<std::pair<std::string, Duration>> const& there)
+struct PoisonRequestTest {
+    /// Crashes an upstream that had been running each of the requests for the given time.
+    void crash(std::vector<std::pair<std::string, Duration>> const& running)
     {
         auto const name = "i-" + std::to_string(this->crashes++);
-        for (auto const& [body, ran_for] : there)
+        for (auto const& [body, ran_for] : running)
             this->ledger.note_crash(request_named(body), { name, 0 }, ran_for, this->now);
         this->now += milliseconds(200);
     }
@@ -33,12 +33,12 @@
     std::vector<RequestFingerprint> causes() const
     {
         std::vector<RequestFingerprint> found;
-        for (auto const& cause : this->ledger.find_causes(NOBODY_KNOWN, this->now))
+        for (auto const& cause : this->ledger.find_poison_requests(NONE_KNOWN, this->now))
             found.push_back(cause.request);
         return found;
     }
 
-    CrashLedger ledger { CrashLedger::Options {} };
+    PoisonRequestDetector ledger { PoisonRequestDetector::Options {} };
     MonotonicTime now { seconds(1000) };
     int crashes = 0;
 };
@@ -47,9 +47,9 @@
 
 }
 
-TEST_CASE("Whoever was at three upstreams that ended is the cause", "[crash-ledger]")
+TEST_CASE("A request that was running on three crashed upstreams is the cause", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
     test.crash({ { "cause", milliseconds(100) } });
     CHECK(test.causes().empty());
@@ -59,20 +59,20 @@
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
-TEST_CASE("Who ran beside the cause is none, however often", "[crash-ledger]")
+TEST_CASE("A request that runs beside the poison request is not blamed, however often", "[crash-ledger]")
 {
-    LedgerTest test;
-    SECTION("one that the cause was met by more often")
+    PoisonRequestTest test;
+    SECTION("a request that meets the poison request often")
     {
         for (int i = 0; i < 4; ++i)
             test.crash({ { "cause", milliseconds(70) }, { i == 0 ? "other" : "victim", milliseconds(300) } });
     }
-    SECTION("one that was at the same ends, and had come there before it")
+    SECTION("a request that was at the same crashes, but arrived earlier")
     {
         for (int i = 0; i < 3; ++i)
             test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(100) } });
     }
-    SECTION("many")
+    SECTION("many requests")
     {
         for (int i = 0; i < 5; ++i)
             test.crash({ { "cause", milliseconds(70) }, { "a", milliseconds(200) }, { "b", milliseconds(500) }, { "c", seconds(2) } });
@@ -81,28 +81,28 @@
     CHECK_FALSE(test.causes() == Found { request_named("victim") });
 }
 
-TEST_CASE("What a known cause explains blames nobody else", "[crash-ledger]")
+TEST_CASE("Crashes explained by a known poison request blame no other request", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     auto const is_known = [](RequestFingerprint const& request) { return request == request_named("cause"); };
     for (int i = 0; i < 6; ++i)
         test.crash({ { "cause", seconds(3) }, { "victim", milliseconds(50) } });
-    CHECK(test.ledger.find_causes(is_known, test.now).empty());
+    CHECK(test.ledger.find_poison_requests(is_known, test.now).empty());
     for (int i = 0; i < 3; ++i)
         test.crash({ { "another", milliseconds(50) } });
-    auto const found = test.ledger.find_causes(is_known, test.now);
+    auto const found = test.ledger.find_poison_requests(is_known, test.now);
     REQUIRE(found.size() == 1);
     CHECK(found.front().request == request_named("another"));
 }
 
-TEST_CASE("Two causes at a time are both found", "[crash-ledger]")
+TEST_CASE("Two concurrent poison requests are both found", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     for (int i = 0; i < 3; ++i) {
         test.crash({ { "first", milliseconds(60) }, { "victim", milliseconds(200) } });
         test.crash({ { "second", milliseconds(90) }, { "victim", milliseconds(400) } });
     }
-    // The victim was at all six: it takes more ends to tell, while both causes go on.
+    // The innocent request was at all six crashes, so it takes more of them to tell the three apart.
     for (int i = 0; i < 4; ++i) {
         test.crash({ { "first", milliseconds(60) } });
         test.crash({ { "second", milliseconds(90) } });
@@ -113,9 +113,9 @@
     CHECK(std::find(found.begin(), found.end(), request_named("victim")) == found.end());
 }
 
-TEST_CASE("A request that ended well is no cause of the ends before and shortly after", "[crash-ledger]")
+TEST_CASE("A request that completed is not blamed for earlier crashes or for ones shortly after", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     test.ledger.note_completed(request_named("sound"), test.now);
@@ -123,31 +123,32 @@
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     CHECK(test.causes().empty());
-    // What changed since, such as the upstreams' software, may have made a cause of it.
-    test.now += CrashLedger::Options {}.completed.memory;
+    // A change in the meantime, such as an update of the upstreams' software, may have turned the request into a poison
+    // request.
+    test.now += PoisonRequestDetector::Options {}.completed.retention;
     for (int i = 0; i < 3; ++i)
         test.crash({ { "sound", milliseconds(70) } });
     CHECK(test.causes() == Found { request_named("sound") });
 }
 
-TEST_CASE("An end blames nobody until all VMs had time to tell who was there", "[crash-ledger]")
+TEST_CASE("A crash blames no request until all VMs had time to report", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
     test.crash({ { "victim", milliseconds(300) }, { "cause", milliseconds(70) } });
     test.ledger.note_crash(request_named("victim"), { "i-9", 0 }, milliseconds(300), test.now);
     CHECK(test.causes().empty());
-    CHECK_FALSE(test.ledger.is_settled(request_named("victim"), test.now));
+    CHECK_FALSE(test.ledger.is_fully_reported(request_named("victim"), test.now));
     test.now += milliseconds(5);
     test.ledger.note_crash(request_named("cause"), { "i-9", 0 }, milliseconds(70), test.now);
-    test.now += CrashLedger::Options {}.settling;
-    CHECK(test.ledger.is_settled(request_named("victim"), test.now));
+    test.now += PoisonRequestDetector::Options {}.report_delay;
+    CHECK(test.ledger.is_fully_reported(request_named("victim"), test.now));
     CHECK(test.causes() == Found { request_named("cause") });
 }
 
-TEST_CASE("Two attempts at one upstream are one end, two lives under one name are two", "[crash-ledger]")
+TEST_CASE("Two attempts on one upstream count as one crash, two incarnations as two", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     auto const cause = request_named("cause");
     for (int i = 0; i < 3; ++i)
         test.ledger.note_crash(cause, { "i-1", 7 }, milliseconds(70), test.now);
@@ -159,22 +160,24 @@
     CHECK(test.causes() == Found { cause });
 }
 
-TEST_CASE("Ends are forgotten in time, and no more than a number is kept", "[crash-ledger]")
+TEST_CASE("Crashes expire, and their number is bounded", "[crash-ledger]")
 {
-    LedgerTest test;
+    PoisonRequestTest test;
     test.crash({ { "cause", milliseconds(70) } });
     test.crash({ { "cause", milliseconds(70) } });
-    test.now += CrashLedger::Options {}.memory;
+    test.now += PoisonRequestDetector::Options {}.retention;
     test.crash({ { "cause", milliseconds(70) } });
     CHECK(test.causes().empty());
     for (int i = 0; i < 2000; ++i)
         test.crash({ { "r" + std::to_string(i), milliseconds(70) } });
-    CHECK(test.ledger.size() <= CrashLedger::Options {}.most_crashes);
+    CHECK(test.ledger.size() <= PoisonRequestDetector::Options {}.maximum_crashes);
 }
 
-// Engines as in the incident: nine of them, three reading prompts, so six to meet at; a request ends one about every third
-// of a second and each takes some seconds to be back. Whoever was there goes on at another engine, three times at most.
-TEST_CASE("Among many that go on elsewhere only the cause is found, and soon", "[crash-ledger]")
+// Simulates the engines of an incident: nine engines, three of which run prefills, leave six on which requests meet.
+// The poison request crashes an engine about every third of a second, and each engine takes seconds to restart.
+// Interrupted requests are retried on other engines up to three times, where they may meet the poison request again and
+// must not be blamed.
+TEST_CASE("Among many retried requests only the poison request is found, and soon", "[crash-ledger]")
 {
     constexpr int ENGINES = 6;
     constexpr int RUNS = 400;
@@ -182,32 +185,32 @@
     int latest_found = 0;
     for (int run = 0; run < RUNS; ++run) {
         std::mt19937 random(static_cast<unsigned>(run));
-        LedgerTest test;
+        PoisonRequestTest test;
         struct Victim {
             std::string body;
             int engine;
-            int moves;
-            MonotonicTime came;
+            int retries;
+            MonotonicTime arrived;
         };
         std::vector<Victim> victims;
-        int named = 0;
+        int victim_count = 0;
         std::optional<int> found_after;
         for (int end = 1; end <= 8; ++end) {
             while (victims.size() < 40)
-                victims.push_back({ "v" + std::to_string(named++), static_cast<int>(random() % ENGINES), 0, test.now - milliseconds(static_cast<std::int64_t>(random() % 3000)) });
-            int const ending = static_cast<int>(random() % ENGINES);
-            std::vector<std::pair<std::string, Duration>> there { { "cause", milliseconds(30 + static_cast<std::int64_t>(random() % 180)) } };
+                victims.push_back({ "v" + std::to_string(victim_count++), static_cast<int>(random() % ENGINES), 0, test.now - milliseconds(static_cast<std::int64_t>(random() % 3000)) });
+            int const crashing_engine = static_cast<int>(random() % ENGINES);
+            std::vector<std::pair<std::string, Duration>> running { { "cause", milliseconds(30 + static_cast<std::int64_t>(random() % 180)) } };
             for (auto& victim : victims) {
-                if (victim.engine != ending)
+                if (victim.engine != crashing_engine)
                     continue;
-                there.emplace_back(victim.body, std::chrono::duration_cast<Duration>(test.now - victim.came));
-                // It meets the cause again at once more often than not, since few engines are left.
+                running.emplace_back(victim.body, std::chrono::duration_cast<Duration>(test.now - victim.arrived));
+                // As few engines are left, the request usually meets the poison request again right away.
                 victim.engine = static_cast<int>(random() % ENGINES);
-                victim.came = test.now + milliseconds(static_cast<std::int64_t>(random() % 150));
-                ++victim.moves;
+                victim.arrived = test.now + milliseconds(static_cast<std::int64_t>(random() % 150));
+                ++victim.retries;
             }
-            std::erase_if(victims, [](auto const& victim) { return victim.moves > 3; });
-            test.crash(there);
+            std::erase_if(victims, [](auto const& victim) { return victim.retries > 3; });
+            test.crash(running);
             auto const found = test.causes();
             for (auto const& cause : found)
                 blamed_victims += cause == request_named("cause") ? 0 : 1;
@@ -218,5 +221,5 @@
         latest_found = std::max(latest_found, *found_after);
     }
     CHECK(blamed_victims == 0);
-    CHECK(latest_found <= ENDS + SENDS_AFTER);
+    CHECK(latest_found <= CRASH_THRESHOLD + MAXIMUM_EXTRA_CRASHES);
 }
--- a/Tests/LibDecision/TestRegistryNews.cpp
+++ b/Tests/LibDecision/TestRegistryNews.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibDecision/PeerNewsTracker.h>
+#include <LibDecision/PeerFetchPolicy.h>
 #include <LibDecision/UpstreamList.h>
 #include <LibDecision/WatchPlan.h>
 #include <Tests/Support/VirtualClock.h>
@@ -42,38 +42,38 @@
 
 }
 
-TEST_CASE("A peer that lacks some changes is told these alone", "[leaving]")
+TEST_CASE("A peer that is missing some changes receives only these", "[leaving]")
 {
     UpstreamList list({});
     list.replace({ { "a", record("a"), 3 }, { "b", record("b"), 5 } }, 7, at_milliseconds(0));
     list.apply({ "c", record("c"), 8 }, at_milliseconds(1));
     list.apply({ "a", {}, 9 }, at_milliseconds(2));
     auto const listing = list.listing_since(7);
-    REQUIRE(listing.extent == UpstreamListing::Extent::Changes);
+    REQUIRE(listing.extent == UpstreamListing::Extent::Delta);
     CHECK(listing.version == 9);
     REQUIRE(listing.records.size() == 1);
     CHECK(listing.records[0].identity == "c");
-    CHECK(listing.gone == std::vector<std::string> { "a" });
+    CHECK(listing.removed == std::vector<std::string> { "a" });
 }
 
-TEST_CASE("A peer whose list is older than the ends that are remembered is told the whole", "[leaving]")
+TEST_CASE("A peer whose list is older than the known removals receives a snapshot", "[leaving]")
 {
     UpstreamList::Options options;
-    options.remembered_ends = 2;
+    options.remembered_removals = 2;
     UpstreamList list(options);
     list.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
-    // What came and went before the list was read is not known.
-    CHECK(list.listing_since(6).extent == UpstreamListing::Extent::Whole);
+    // Upstreams that were added and removed before the list was read are unknown.
+    CHECK(list.listing_since(6).extent == UpstreamListing::Extent::Snapshot);
     for (std::int64_t version = 8; version < 11; ++version)
         list.apply({ "x" + std::to_string(version), {}, version }, at_milliseconds(version));
-    CHECK(list.listing_since(7).extent == UpstreamListing::Extent::Whole);
-    CHECK(list.listing_since(8).extent == UpstreamListing::Extent::Changes);
+    CHECK(list.listing_since(7).extent == UpstreamListing::Extent::Snapshot);
+    CHECK(list.listing_since(8).extent == UpstreamListing::Extent::Delta);
     CHECK(list.listing_since(0).records.size() == 1);
 }
 
-TEST_CASE("Lists that were read at different positions have the same version", "[leaving]")
+TEST_CASE("Equal lists that were read at different positions have the same version", "[leaving]")
 {
-    // Otherwise each VM would ask the one that read last for what it has already.
+    // Otherwise each VM would request what it already has from the one that read the list last.
     UpstreamList one({});
     UpstreamList other({});
     one.replace({ { "a", record("a"), 3 } }, 7, at_milliseconds(0));
@@ -82,59 +82,59 @@
     CHECK(one.version() == 3);
 }
 
-TEST_CASE("A whole list without entries is taken like any other", "[leaving]")
+TEST_CASE("An empty snapshot is merged like any other", "[leaving]")
 {
-    // Otherwise it would be asked for again at each heartbeat.
+    // Otherwise the listing would be requested again with each heartbeat.
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
-    list.take({ UpstreamListing::Extent::Whole, 8, {}, {} }, at_milliseconds(1));
+    list.merge({ UpstreamListing::Extent::Snapshot, 8, {}, {} }, at_milliseconds(1));
     CHECK_FALSE(list.takes_work("a"));
     CHECK(list.version() == 8);
 }
 
-TEST_CASE("News that come late bring nobody back", "[leaving]")
+TEST_CASE("A delayed update does not revive a removed upstream", "[leaving]")
 {
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
     list.apply({ "a", {}, 6 }, at_milliseconds(1));
     UpstreamListing late;
-    late.extent = UpstreamListing::Extent::Changes;
+    late.extent = UpstreamListing::Extent::Delta;
     late.version = 5;
     late.records.push_back(record("a"));
-    list.take(late, at_milliseconds(2));
+    list.merge(late, at_milliseconds(2));
     CHECK_FALSE(list.takes_work("a"));
     CHECK(list.version() == 6);
 }
 
-TEST_CASE("An upstream that came back stays", "[leaving]")
+TEST_CASE("An upstream that was added again stays", "[leaving]")
 {
     UpstreamList list({});
     list.apply({ "a", record("a"), 3 }, at_milliseconds(0));
     list.apply({ "a", {}, 6 }, at_milliseconds(1));
-    SECTION("told by a peer")
+    SECTION("received from a peer")
     {
-        UpstreamListing listing { UpstreamListing::Extent::Changes, 8, { record("a") }, {} };
-        list.take(listing, at_milliseconds(2));
+        UpstreamListing listing { UpstreamListing::Extent::Delta, 8, { record("a") }, {} };
+        list.merge(listing, at_milliseconds(2));
     }
-    SECTION("read with the whole list")
+    SECTION("read with a snapshot")
     {
         list.replace({ { "a", record("a"), 4 } }, 9, at_milliseconds(2));
     }
     CHECK(list.takes_work("a"));
 }
 
-TEST_CASE("VMs that tell each other changes in any order end with the registry's list", "[leaving][answer-lost]")
+TEST_CASE("VMs that exchange updates in any order converge to the registry's list", "[leaving][answer-lost]")
 {
     auto const seed = GENERATE(range(1U, 41U));
     std::mt19937 random(seed);
     auto const below = [&](std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(random); };
     UpstreamList::Options options;
-    options.remembered_ends = 4;
-    UpstreamList truth(options);
+    options.remembered_removals = 4;
+    UpstreamList expected(options);
     std::vector<UpstreamList> vms(4, UpstreamList(options));
-    std::vector<UpstreamListing> on_the_way;
+    std::vector<UpstreamListing> in_flight;
     std::int64_t version = 0;
-    std::vector<std::int64_t> heard(vms.size(), 0);
+    std::vector<std::int64_t> applied(vms.size(), 0);
     std::vector<UpstreamChange> history;
     for (int step = 0; step < 400; ++step) {
         auto& vm = vms[below(vms.size())];
@@ -147,39 +147,39 @@
             if (below(3) != 0)
                 change.record = record(identity, static_cast<std::int64_t>(below(50)) + 1);
             history.push_back(change);
-            truth.apply(change, at_milliseconds(step));
+            expected.apply(change, at_milliseconds(step));
             break;
         }
         case 2:
-            // Its own watch brings the next changes.
-            for (; heard[index] < version && below(4) != 0; ++heard[index])
-                vm.apply(history[static_cast<std::size_t>(heard[index])], at_milliseconds(step));
+            // The VM's own watch delivers the next changes.
+            for (; applied[index] < version && below(4) != 0; ++applied[index])
+                vm.apply(history[static_cast<std::size_t>(applied[index])], at_milliseconds(step));
             break;
         case 3:
-            on_the_way.push_back(vms[below(vms.size())].listing_since(vm.version()));
+            in_flight.push_back(vms[below(vms.size())].listing_since(vm.version()));
             if (below(2) == 0)
-                vm.take(on_the_way.back(), at_milliseconds(step));
+                vm.merge(in_flight.back(), at_milliseconds(step));
             break;
         case 4:
-            // An answer that was meant for this VM comes late; one for another VM would not fit.
-            if (!on_the_way.empty() && on_the_way.back().version <= vm.version())
-                vm.take(on_the_way.back(), at_milliseconds(step));
+            // A delayed response to a request of this VM. A delta requested by another VM would not apply.
+            if (!in_flight.empty() && in_flight.back().version <= vm.version())
+                vm.merge(in_flight.back(), at_milliseconds(step));
             break;
         default:
             break;
         }
     }
     for (std::size_t i = 0; i < vms.size(); ++i) {
-        vms[i].take(truth.listing_since(vms[i].version()), at_milliseconds(1000));
+        vms[i].merge(expected.listing_since(vms[i].version()), at_milliseconds(1000));
         CAPTURE(seed, i, vms[i].version());
-        CHECK(vms[i].version() == truth.version());
-        CHECK(vms[i].records() == truth.records());
+        CHECK(vms[i].version() == expected.version());
+        CHECK(vms[i].records() == expected.records());
     }
 }
 
-TEST_CASE("What a peer knows is fetched where it does not come by itself", "[platform-down][config]")
+TEST_CASE("Newer state of a peer is fetched only if it does not arrive otherwise", "[platform-down][config]")
 {
-    using Source = PeerNewsTracker::OwnSource;
+    using Source = PeerFetchPolicy::LocalSource;
     struct Step {
         int at;
         std::int64_t peers;
@@ -192,17 +192,17 @@
         std::vector<Step> steps;
     };
     auto const row = GENERATE(values<Row>({
-        { "nothing newer", { { 0, 5, 5, Source::Away, false }, { 1000, 4, 5, Source::Away, false } } },
-        { "no source of its own", { { 0, 6, 5, Source::Away, true } } },
-        { "the source brings it", { { 0, 6, 5, Source::Well, false }, { 200, 6, 6, Source::Well, false }, { 900, 6, 6, Source::Well, false } } },
-        { "the source is silent", { { 0, 6, 5, Source::Well, false }, { 299, 6, 5, Source::Well, false }, { 300, 6, 5, Source::Well, true } } },
-        { "the patience is for the first news, not for the newest", { { 0, 6, 5, Source::Well, false }, { 200, 7, 5, Source::Well, false }, { 350, 8, 5, Source::Well, true } } },
-        { "later news have a patience of their own", { { 0, 6, 5, Source::Well, false }, { 290, 7, 6, Source::Well, false }, { 310, 7, 6, Source::Well, false }, { 590, 7, 6, Source::Well, true } } },
-        { "one fetch at a time", { { 0, 6, 5, Source::Away, true }, { 100, 6, 5, Source::Away, false }, { 250, 6, 5, Source::Away, true } } },
+        { "nothing newer", { { 0, 5, 5, Source::Unavailable, false }, { 1000, 4, 5, Source::Unavailable, false } } },
+        { "no source of its own", { { 0, 6, 5, Source::Unavailable, true } } },
+        { "the source brings it", { { 0, 6, 5, Source::Available, false }, { 200, 6, 6, Source::Available, false }, { 900, 6, 6, Source::Available, false } } },
+        { "the source is silent", { { 0, 6, 5, Source::Available, false }, { 299, 6, 5, Source::Available, false }, { 300, 6, 5, Source::Available, true } } },
+        { "the patience is for the first news, not for the newest", { { 0, 6, 5, Source::Available, false }, { 200, 7, 5, Source::Available, false }, { 350, 8, 5, Source::Available, true } } },
+        { "later news have a patience of their own", { { 0, 6, 5, Source::Available, false }, { 290, 7, 6, Source::Available, false }, { 310, 7, 6, Source::Available, false }, { 590, 7, 6, Source::Available, true } } },
+        { "one fetch at a time", { { 0, 6, 5, Source::Unavailable, true }, { 100, 6, 5, Source::Unavailable, false }, { 250, 6, 5, Source::Unavailable, true } } },
         { "watchers may take longer than the registry", { { 0, 6, 5, Source::Watchers, false }, { 599, 6, 5, Source::Watchers, false }, { 600, 6, 5, Source::Watchers, true } } },
-        { "what its own watcher tells is asked for at once", { { 0, 6, 5, Source::Watchers, false }, { 50, 6, 5, Source::Away, true } } },
+        { "what its own watcher tells is asked for at once", { { 0, 6, 5, Source::Watchers, false }, { 50, 6, 5, Source::Unavailable, true } } },
     }));
-    PeerNewsTracker tracker({ milliseconds(300), milliseconds(600), milliseconds(250) });
+    PeerFetchPolicy tracker({ milliseconds(300), milliseconds(600), milliseconds(250) });
     for (auto const& step : row.steps) {
         CAPTURE(row.name, step.at);
         CHECK(tracker.should_fetch(step.peers, step.own, step.source, at_milliseconds(step.at)) == step.fetches);
@@ -214,29 +214,29 @@
     auto const all = names(5);
     for (auto const& name : all) {
         auto plan = plan_of(all, name);
-        plan.note_told(all[0], at_milliseconds(0));
+        plan.note_update(all[0], at_milliseconds(0));
         CHECK(plan.watches(at_milliseconds(5000)));
         CHECK(plan.listeners().empty());
     }
 }
 
-TEST_CASE("In a larger data centre a few VMs watch, and tell all others", "[config]")
+TEST_CASE("In a larger data centre a few VMs watch, and relay to all others", "[config]")
 {
     auto const all = names(40);
     std::vector<std::string> watchers;
     for (auto const& name : all) {
         auto const plan = plan_of(all, name);
-        if (plan.part() == WatchPlan::Part::Watcher)
+        if (plan.role() == WatchPlan::Role::Watcher)
             watchers.push_back(name);
     }
     CHECK(watchers.size() == 3);
     for (auto const& name : watchers) {
         auto const plan = plan_of(all, name);
-        // The other watchers too: the registry may refuse one of them.
+        // This includes the other watchers, as the registry may refuse one of them.
         CHECK(plan.listeners().size() == 39);
         CHECK(std::count(plan.listeners().begin(), plan.listeners().end(), name) == 0);
     }
-    // Where one of them goes the other two stay.
+    // If one of them leaves, the other two remain watchers.
     auto fewer = all;
     std::erase(fewer, watchers[0]);
     auto const after = choose_watchers(fewer, 3);
@@ -244,74 +244,74 @@
     CHECK(std::count(after.begin(), after.end(), watchers[2]) == 1);
 }
 
-TEST_CASE("A VM watches until it is told regularly, and again when that ends", "[platform-down][freeze]")
+TEST_CASE("A VM watches until it receives regular updates, and again when they stop", "[platform-down][freeze]")
 {
     auto const all = names(10);
     auto const order = choose_watchers(all, all.size());
     struct Row {
         std::string name;
         std::size_t rank;
-        /// How long after the last message it watches again.
+        /// Time after the last update at which it watches again.
         int silence;
     };
     auto const row = GENERATE(values<Row>({ { "the first stand-in", 3, 900 }, { "one behind the first stand-ins", 9, 1800 } }));
     CAPTURE(row.name);
     auto plan = plan_of(all, order[row.rank]);
-    REQUIRE(plan.part() == WatchPlan::Part::Listener);
+    REQUIRE(plan.role() == WatchPlan::Role::Listener);
     CHECK(plan.watches(at_milliseconds(0)));
     for (int at = 100; at <= 2100; at += 400)
-        plan.note_told(order[0], at_milliseconds(at));
+        plan.note_update(order[0], at_milliseconds(at));
     CHECK(plan.watches(at_milliseconds(1500)));
     CHECK_FALSE(plan.watches(at_milliseconds(1700)));
     CHECK_FALSE(plan.watches(at_milliseconds(2100 + row.silence - 1)));
     CHECK(plan.watches(at_milliseconds(2100 + row.silence)));
-    // A first message after the silence is no regular telling yet.
-    plan.note_told(order[1], at_milliseconds(4500));
+    // A single update after the silence is not enough.
+    plan.note_update(order[1], at_milliseconds(4500));
     CHECK(plan.watches(at_milliseconds(4600)));
-    SECTION("one that becomes a watcher watches, whatever it is told")
+    SECTION("a VM that becomes a watcher watches regardless of updates")
     {
-        plan.note_told(order[0], at_milliseconds(4900));
+        plan.note_update(order[0], at_milliseconds(4900));
         plan.set_virtual_machines({ order[row.rank], order[0] });
         CHECK(plan.watches(at_milliseconds(5000)));
     }
-    SECTION("what stands behind it is not listened to, or both would stop")
+    SECTION("updates from a VM further back in the order are not relied on, or both would stop")
     {
         for (int at = 4900; at <= 8000; at += 400)
-            plan.note_told("vm-that-is-not-listed", at_milliseconds(at));
+            plan.note_update("vm-that-is-not-listed", at_milliseconds(at));
         auto const behind = choose_watchers(std::vector<std::string> { order[row.rank], "vm-that-is-not-listed" }, 2);
         CHECK(plan.watches(at_milliseconds(8000)) == (behind[0] == order[row.rank]));
     }
-    SECTION("one that reaches nobody waits for nobody")
+    SECTION("a VM that reaches no other VM does not wait for updates")
     {
-        plan.set_company(WatchPlan::Company::None);
+        plan.set_peer_reachability(WatchPlan::PeerReachability::None);
         for (int at = 4900; at <= 8100; at += 400)
-            plan.note_told(order[0], at_milliseconds(at));
+            plan.note_update(order[0], at_milliseconds(at));
         CHECK_FALSE(plan.watches(at_milliseconds(8100 + 899)));
         CHECK(plan.watches(at_milliseconds(8100 + 900)));
-        CHECK(plan.longest_pause(milliseconds(900)) == milliseconds(900));
+        CHECK(plan.maximum_retry_interval(milliseconds(900)) == milliseconds(900));
     }
 }
 
-TEST_CASE("Each listener has one watcher that it asks for what is long, and each watcher has as many", "[config]")
+TEST_CASE("Each listener fetches large updates from one watcher, and the watchers share the load", "[config]")
 {
     auto const all = names(60);
     std::map<std::string, int> asked;
     for (auto const& name : all) {
         auto const plan = plan_of(all, name);
-        CHECK(plan.own_watcher().empty() == (plan.part() == WatchPlan::Part::Watcher));
-        if (!plan.own_watcher().empty())
-            ++asked[plan.own_watcher()];
+        CHECK(plan.assigned_watcher().empty() == (plan.role() == WatchPlan::Role::Watcher));
+        if (!plan.assigned_watcher().empty())
+            ++asked[plan.assigned_watcher()];
     }
     REQUIRE(asked.size() == 3);
-    // 57 over three: none has twice the share.
+    // 57 listeners on three watchers: none has twice its share.
     for (auto const& [watcher, count] : asked)
         CHECK(count < 38);
 }
 
 namespace {
 
-/// Data centres of VMs that follow a registry in virtual time, each by its WatchPlan: news come to those that watch
-/// with a call each, and to the others from these. Steps of 50 ms.
+/// Data centres of VMs that follow a registry in virtual time by their WatchPlan: each watching VM needs one call per
+/// change, and relays it to the others. Simulated in steps of 50 ms.
 class WatchedRegistry {
 public:
     WatchedRegistry(int data_centres, int virtual_machines)
@@ -332,12 +332,12 @@
         int data_centre;
         WatchPlan plan;
         std::int64_t version = 0;
-        bool is_turned_away = false;
-        bool is_followed = false;
+        bool is_refused = false;
+        bool is_synchronized = false;
         int failures = 0;
         std::int64_t next_try = 0;
-        std::int64_t gathers_until = 0;
-        std::int64_t next_tell = 0;
+        std::int64_t batches_until = 0;
+        std::int64_t next_relay = 0;
     };
 
     void run(std::int64_t until)
@@ -346,7 +346,7 @@
             for (auto& machine : this->machines)
                 this->watch(machine);
             for (auto& machine : this->machines)
-                this->tell(machine);
+                this->relay(machine);
         }
     }
 
@@ -365,47 +365,48 @@
     std::int64_t calls = 0;
 
 private:
-    /// As the follower does: a watch of 4 s that ends with news, pauses that double to the longest one.
+    /// Behaves like RegistryFollower: a watch of 4 s returns on a change, and after failures the delay doubles up to
+    /// the maximum.
     void watch(Machine& machine)
     {
         auto const time = at_milliseconds(this->now);
         if (!machine.plan.watches(time)) {
-            machine.is_followed = false;
+            machine.is_synchronized = false;
             return;
         }
-        if (this->is_down || machine.is_turned_away) {
-            machine.is_followed = false;
+        if (this->is_down || machine.is_refused) {
+            machine.is_synchronized = false;
             if (this->now < machine.next_try)
                 return;
             ++this->calls;
             auto const usual = std::min<std::int64_t>(900, 150 << std::min(++machine.failures, 4));
-            auto const shared = to_seconds(machine.plan.longest_pause(milliseconds(900))) / 0.9;
+            auto const shared = to_seconds(machine.plan.maximum_retry_interval(milliseconds(900))) / 0.9;
             machine.next_try = this->now + static_cast<std::int64_t>(static_cast<double>(usual) * shared * 0.75);
             return;
         }
-        bool const is_over = !machine.is_followed || this->now >= machine.next_try;
-        if (this->now < machine.gathers_until || (!is_over && machine.version == this->version))
+        bool const is_over = !machine.is_synchronized || this->now >= machine.next_try;
+        if (this->now < machine.batches_until || (!is_over && machine.version == this->version))
             return;
         ++this->calls;
         machine.failures = 0;
-        machine.is_followed = true;
+        machine.is_synchronized = true;
         if (machine.version != this->version)
-            machine.gathers_until = this->now + to_milliseconds(machine.plan.gathering(NEWS_TIME));
+            machine.batches_until = this->now + to_milliseconds(machine.plan.batching_delay(NEWS_TIME));
         machine.version = this->version;
         machine.next_try = this->now + 4000;
-        machine.next_tell = 0;
+        machine.next_relay = 0;
     }
 
-    void tell(Machine& machine)
+    void relay(Machine& machine)
     {
-        if (!machine.is_followed || this->now < machine.next_tell)
+        if (!machine.is_synchronized || this->now < machine.next_relay)
             return;
-        machine.next_tell = this->now + 400;
+        machine.next_relay = this->now + 400;
         for (auto const& listener : machine.plan.listeners()) {
             for (auto& other : this->machines) {
                 if (other.name != listener)
                     continue;
-                other.plan.note_told(machine.name, at_milliseconds(this->now));
+                other.plan.note_update(machine.name, at_milliseconds(this->now));
                 other.version = std::max(other.version, machine.version);
             }
         }
@@ -414,18 +415,19 @@
 
 }
 
-// Five data centres of 60 VMs each: if each VM asked for itself, a version would be 300 calls and ten seconds without the
-// registry 4,000.
-TEST_CASE("Three hundred VMs follow a registry with few calls, whatever becomes of it", "[config][platform-down]")
+// Five data centres of 60 VMs each. If each VM polled by itself, one version would take 300 calls, and ten seconds of a
+// registry outage 4,000.
+TEST_CASE("Three hundred VMs follow a registry with few calls under all conditions", "[config][platform-down]")
 {
     WatchedRegistry registry(5, 60);
     registry.run(5000);
-    // The start: each VM for itself until the watchers told it; these then once more after a watch's time.
+    // On start, each VM watches until the watchers relay to it, and the watchers call once more when their first watch
+    // ends.
     CHECK(registry.calls <= 300 + 15);
     CHECK(registry.oldest() == 1);
     registry.calls = 0;
 
-    SECTION("a storm of versions")
+    SECTION("a burst of versions")
     {
         for (int i = 0; i < 20; ++i) {
             ++registry.version;
@@ -433,7 +435,7 @@
         }
         registry.run(registry.now + 400);
         CHECK(registry.oldest() == registry.version);
-        // One watcher of each data centre reads most of them, the other two a third.
+        // One watcher of each data centre reads most versions, and the other two a third of them.
         CHECK(registry.calls <= 20 * 5 + 7 * 10 + 2 * 15);
     }
     SECTION("upstreams that change five times a second")
@@ -443,15 +445,15 @@
             registry.run(registry.now + 200);
             CHECK(registry.oldest() >= registry.version - 3);
         }
-        // If each watcher read each change it would be 1,500.
+        // If each watcher read each change, there would be 1,500 calls.
         CHECK(registry.calls <= 5 * (50 + 2 * 20) + 15);
     }
-    SECTION("calm")
+    SECTION("no changes")
     {
         registry.run(registry.now + 60'000);
         CHECK(registry.calls <= 15 * 16);
     }
-    SECTION("a registry that is away and comes back")
+    SECTION("a registry outage")
     {
         registry.is_down = true;
         registry.run(registry.now + 10'000);
@@ -461,11 +463,11 @@
         registry.run(registry.now + 900);
         CHECK(registry.oldest() == registry.version);
     }
-    SECTION("a registry that turns a third of the VMs away, all watchers of a data centre among them")
+    SECTION("a registry that refuses a third of the VMs, including all watchers of a data centre")
     {
         for (std::size_t i = 0; i < registry.machines.size(); ++i) {
             auto& machine = registry.machines[i];
-            machine.is_turned_away = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.part() == WatchPlan::Part::Watcher);
+            machine.is_refused = i % 3 == 0 || (machine.data_centre == 2 && machine.plan.role() == WatchPlan::Role::Watcher);
         }
         ++registry.version;
         registry.run(registry.now + 1500);
@@ -477,9 +479,9 @@
         registry.run(registry.now + 500);
         CHECK(registry.oldest() == registry.version);
     }
-    SECTION("a watcher that freezes while it is relied on")
+    SECTION("watchers that are paused while others rely on them")
     {
-        std::erase_if(registry.machines, [](auto const& machine) { return machine.plan.part() == WatchPlan::Part::Watcher && machine.data_centre == 1; });
+        std::erase_if(registry.machines, [](auto const& machine) { return machine.plan.role() == WatchPlan::Role::Watcher && machine.data_centre == 1; });
         ++registry.version;
         registry.run(registry.now + 1200);
         CHECK(registry.oldest() == registry.version);
--- a/Tests/LibDecision/TestRequestFingerprint.cpp
+++ b/Tests/LibDecision/TestRequestFingerprint.cpp
@@ -12,7 +12,7 @@
 
 }
 
-TEST_CASE("A request has the same fingerprint each time that it comes, and another where any part differs", "[fingerprint]")
+TEST_CASE("A repeated request has the same fingerprint, and any different part changes it", "[fingerprint]")
 {
     auto const fingerprint = RequestFingerprint::of(PARTS);
     CHECK(RequestFingerprint::of(PARTS) == fingerprint);
@@ -22,14 +22,14 @@
         RequestFingerprint::Parts { PARTS.method, PARTS.host, "/a/c", PARTS.account, PARTS.body },
         RequestFingerprint::Parts { PARTS.method, PARTS.host, PARTS.target, "roofers", PARTS.body },
         RequestFingerprint::Parts { PARTS.method, PARTS.host, PARTS.target, PARTS.account, "another" },
-        // The same bytes, divided in another way.
+        // The same bytes, divided differently.
         RequestFingerprint::Parts { PARTS.method, "h.example/a", "/b", PARTS.account, PARTS.body },
     };
     for (auto const& parts : others)
         CHECK(RequestFingerprint::of(parts) != fingerprint);
 }
 
-TEST_CASE("A fingerprint comes back from its bytes and its text, and from nothing else", "[fingerprint]")
+TEST_CASE("A fingerprint is parsed from its bytes and its text, and from nothing else", "[fingerprint]")
 {
     auto const fingerprint = RequestFingerprint::of(PARTS);
     CHECK(RequestFingerprint::from_bytes(fingerprint.to_bytes()) == fingerprint);
--- a/Tests/LibDecision/TestRouteTable.cpp
+++ b/Tests/LibDecision/TestRouteTable.cpp
@@ -20,7 +20,7 @@
 
 }
 
-TEST_CASE("A request takes the longest prefix of its host")
+TEST_CASE("A request is routed by the longest path prefix of its host")
 {
     RoutingConfiguration configuration;
     configuration.routes = { route("all", "a.example", "/"), route("one", "a.example", "/one/"), route("deep", "a.example", "/one/two/"), route("other", "b.example", "/only/") };
@@ -28,7 +28,7 @@
     struct Case {
         std::string host;
         std::string target;
-        /// Empty where no route matches.
+        /// Empty if no route matches.
         std::string name;
     };
     auto const given = GENERATE(
@@ -40,7 +40,7 @@
     REQUIRE((found ? found->name : "") == given.name);
 }
 
-TEST_CASE("A split sends each target its share")
+TEST_CASE("A weighted route sends each target its share")
 {
     Route split;
     split.targets = { { "old", 90 }, { "new", 10 } };
@@ -55,20 +55,20 @@
 
 TEST_CASE("Hosts are compared without port and case")
 {
-    REQUIRE(normal_host("Shop.Example:80") == "shop.example");
-    REQUIRE(normal_host("[::1]:80") == "[::1]");
-    REQUIRE(normal_host("[::1]") == "[::1]");
+    REQUIRE(normalize_host("Shop.Example:80") == "shop.example");
+    REQUIRE(normalize_host("[::1]:80") == "[::1]");
+    REQUIRE(normalize_host("[::1]") == "[::1]");
 }
 
-TEST_CASE("What upstreams take of connections is shared among all VMs, the missing ones too", "[connections]")
+TEST_CASE("The connection limit of an upstream is shared among all VMs, including missing ones", "[connections]")
 {
     std::vector<ServiceTraits> services(2);
     services[0].maximum_connections = 360;
     services[1].maximum_connections = 100;
-    CHECK(resting_connections_of_each(services, { 7, 0 }) == 7);
-    CHECK(resting_connections_of_each(services, { 4, 3 }) == 7);
-    CHECK(resting_connections_of_each(services, { 1, 0 }) == 32);
+    CHECK(idle_connections_per_virtual_machine(services, { 7, 0 }) == 7);
+    CHECK(idle_connections_per_virtual_machine(services, { 4, 3 }) == 7);
+    CHECK(idle_connections_per_virtual_machine(services, { 1, 0 }) == 32);
     services[1].maximum_connections = 1800;
-    CHECK(resting_connections_of_each(services, { 986, 0 }) == 1);
-    CHECK(resting_connections_of_each({}, { 7, 0 }) == 32);
+    CHECK(idle_connections_per_virtual_machine(services, { 986, 0 }) == 1);
+    CHECK(idle_connections_per_virtual_machine({}, { 7, 0 }) == 32);
 }
--- a/Tests/LibDecision/TestUpstreams.cpp
+++ b/Tests/LibDecision/TestUpstreams.cpp
@@ -26,7 +26,7 @@
 
 }
 
-TEST_CASE("An entry that ends while the registry is well is gone at once", "[leaving]")
+TEST_CASE("An entry that ends while the registry is available is removed at once", "[leaving]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
@@ -36,29 +36,29 @@
     REQUIRE(list.size() == 0);
 }
 
-TEST_CASE("An upstream that leaves gets nothing new", "[leaving]")
+TEST_CASE("An upstream that leaves receives no new work", "[leaving]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
     list.apply({ "a", record("a", UpstreamRecord::Life::Leaving), 2 }, at_milliseconds(10));
     REQUIRE_FALSE(list.takes_work("a"));
-    // Late news of the time before change nothing.
+    // A delayed earlier change is ignored.
     list.apply({ "a", record("a"), 1 }, at_milliseconds(20));
     REQUIRE_FALSE(list.takes_work("a"));
 }
 
-TEST_CASE("Entries that lapsed with the registry are kept until shortly after its return", "[leaving][platform-down]")
+TEST_CASE("Entries that expired during a registry outage are retained until shortly after it", "[leaving][platform-down]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
     list.apply({ "b", record("b"), 1 }, at_milliseconds(0));
     list.apply({ "c", record("c", UpstreamRecord::Life::Leaving), 1 }, at_milliseconds(0));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(1000));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(6000));
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(1000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(6000));
     list.replace({}, 9, at_milliseconds(6000));
     REQUIRE(list.takes_work("a"));
     REQUIRE(list.listing_since(0).records.empty());
-    // One that had said that it leaves has left.
+    // The upstream had announced its departure.
     REQUIRE_FALSE(list.find("c"));
     list.apply({ "a", record("a"), 10 }, at_milliseconds(7000));
     REQUIRE_FALSE(list.advance(at_milliseconds(7700)));
@@ -67,23 +67,23 @@
     REQUIRE_FALSE(list.takes_work("b"));
 }
 
-TEST_CASE("Entries that lapse during a second outage are not dropped by the first one's grace", "[leaving][platform-down]")
+TEST_CASE("Entries that expire during a second outage are not dropped by the grace period of the first", "[leaving][platform-down]")
 {
     UpstreamList list({ milliseconds(1800) });
     list.apply({ "a", record("a"), 1 }, at_milliseconds(0));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(1000));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(2000));
-    list.note_registry(UpstreamList::RegistryState::Away, at_milliseconds(9000));
-    // Told by a peer whose registry has just come back empty.
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(1000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(2000));
+    list.note_registry(UpstreamList::RegistryState::Unreachable, at_milliseconds(9000));
+    // From a peer whose registry has just recovered without any entries.
     list.replace({}, 5, at_milliseconds(9500));
     REQUIRE_FALSE(list.advance(at_milliseconds(20'000)));
     REQUIRE(list.takes_work("a"));
-    list.note_registry(UpstreamList::RegistryState::Well, at_milliseconds(21'000));
+    list.note_registry(UpstreamList::RegistryState::Available, at_milliseconds(21'000));
     REQUIRE_FALSE(list.advance(at_milliseconds(22'700)));
     REQUIRE(list.advance(at_milliseconds(22'800)));
 }
 
-TEST_CASE("A list that is older than what is known changes nothing")
+TEST_CASE("A snapshot that is older than the known version is ignored")
 {
     UpstreamList list({ milliseconds(1800) });
     list.replace({ { "a", record("a"), 7 } }, 7, at_milliseconds(0));
@@ -97,46 +97,46 @@
     SharedRetryBudget budget({ 0.2, 56, seconds(10), 1.0 });
     for (int i = 0; i < 100; ++i)
         budget.note_request(at_milliseconds(i));
-    // A fifth of 100 and an eighth of 56.
+    // A fifth of 100 requests and an eighth of the allowance of 56.
     int taken = 0;
     while (budget.try_take(1, 1.0 / 8, at_milliseconds(200)))
         ++taken;
     REQUIRE(taken == 27);
     REQUIRE_FALSE(budget.try_take(1, 1.0 / 8, at_milliseconds(9000)));
-    // Once the requests and the extra sends left the window, the allowance is there again.
+    // The allowance is available again once the requests and the extra sends have left the window.
     REQUIRE(budget.try_take(1, 1.0 / 8, at_milliseconds(10'300)));
 }
 
-TEST_CASE("Upstreams that fail in a row are left out for a doubling time, and one request tries them")
+TEST_CASE("Upstreams that fail repeatedly are ejected for a doubling time, then receive one trial request")
 {
     UpstreamSelector selector({ 3, milliseconds(1000), seconds(8) });
     auto const fail = [&](std::int64_t now) {
         selector.note_sent("a");
-        selector.note_end("a", UpstreamOutcome::Bad, Duration::zero(), at_milliseconds(now));
+        selector.note_end("a", UpstreamOutcome::Failed, Duration::zero(), at_milliseconds(now));
     };
     fail(0);
     fail(1);
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(2)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(2)));
     fail(2);
-    REQUIRE(selector.is_left_out("a", at_milliseconds(900)));
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(1100)));
-    // One bad trial leaves it out again, for twice as long.
+    REQUIRE(selector.is_ejected("a", at_milliseconds(900)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(1100)));
+    // One failed trial ejects it again, for twice as long.
     fail(1100);
-    REQUIRE(selector.is_left_out("a", at_milliseconds(3000)));
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(3200)));
+    REQUIRE(selector.is_ejected("a", at_milliseconds(3000)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3200)));
     selector.note_sent("a");
-    selector.note_end("a", UpstreamOutcome::Good, milliseconds(5), at_milliseconds(3300));
+    selector.note_end("a", UpstreamOutcome::Succeeded, milliseconds(5), at_milliseconds(3300));
     fail(3400);
-    REQUIRE_FALSE(selector.is_left_out("a", at_milliseconds(3401)));
+    REQUIRE_FALSE(selector.is_ejected("a", at_milliseconds(3401)));
 }
 
-TEST_CASE("Most of a service is never left out")
+TEST_CASE("At most half of a service's upstreams are ejected")
 {
     UpstreamSelector selector({});
     for (auto const* name : { "a", "b" }) {
         for (int i = 0; i < 3; ++i) {
             selector.note_sent(name);
-            selector.note_end(name, UpstreamOutcome::Bad, Duration::zero(), at_milliseconds(0));
+            selector.note_end(name, UpstreamOutcome::Failed, Duration::zero(), at_milliseconds(0));
         }
     }
     std::set<std::size_t> chosen;
@@ -149,7 +149,7 @@
     REQUIRE(chosen.size() == 3);
 }
 
-TEST_CASE("The upstream with the least work is chosen, and a full one only when all are full")
+TEST_CASE("The least loaded upstream is selected, and a full one only if all are full")
 {
     UpstreamSelector selector({});
     selector.note_sent("a");
