--- a/Libraries/LibRouter/Entry.cpp
+++ b/Libraries/LibRouter/Entry.cpp
@@ -3,8 +3,8 @@
 
 #include <LibCore/LogLine.h>
 #include <LibRouter/Entry.h>
-#include <LibRouter/PlainFlow.h>
-#include <LibRouter/StreamFlow.h>
+#include <LibRouter/StreamingRequestHandler.h>
+#include <LibRouter/UnaryRequestHandler.h>
 
 namespace Spurtide {
 
@@ -55,12 +55,12 @@
         return service && service->engine;
     };
     bool const is_for_engines = request.prompt && std::any_of(route->targets.begin(), route->targets.end(), has_engine);
-    std::shared_ptr<RequestFlow> flow;
+    std::shared_ptr<RequestHandler> handler;
     if (is_for_engines)
-        flow = std::make_shared<StreamFlow>(this->state, exchange, routes, *route, caller.account, std::move(request));
+        handler = std::make_shared<StreamingRequestHandler>(this->state, exchange, routes, *route, caller.account, std::move(request));
     else
-        flow = std::make_shared<PlainFlow>(this->state, exchange, routes, *route, caller.account, std::move(request));
-    co_await flow->run();
+        handler = std::make_shared<UnaryRequestHandler>(this->state, exchange, routes, *route, caller.account, std::move(request));
+    co_await handler->run();
 }
 
 ExpectedTime Entry::expected_time(Route const& route, CallerRequest const& request) const
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -6,7 +6,7 @@
 #include <LibRouter/CrashReporter.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
-#include <LibRouter/RequestFlow.h>
+#include <LibRouter/RequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <algorithm>
 #include <array>
@@ -49,7 +49,7 @@
 
 }
 
-RequestFlow::RequestFlow(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request)
+RequestHandler::RequestHandler(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request)
     : state(state)
     , exchange(exchange)
     , routes(std::move(routes))
@@ -68,19 +68,19 @@
 {
 }
 
-asio::awaitable<void> RequestFlow::run()
+asio::awaitable<void> RequestHandler::run()
 {
     auto const self = this->shared_from_this();
-    std::weak_ptr<RequestFlow> const weak = self;
+    std::weak_ptr<RequestHandler> const weak = self;
     this->exchange.when_caller_leaves([weak] {
-        if (auto const flow = weak.lock())
-            flow->stop(StopReason::CallerLeft);
+        if (auto const handler = weak.lock())
+            handler->stop(StopReason::CallerLeft);
     });
     this->limit.expires_at(this->until);
     this->limit.async_wait([weak](asio::error_code error) {
-        auto const flow = weak.lock();
-        if (!error && flow)
-            flow->stop(StopReason::OutOfTime);
+        auto const handler = weak.lock();
+        if (!error && handler)
+            handler->stop(StopReason::OutOfTime);
     });
     this->state.budget_of(this->service).note_request(monotonic_now());
     bool const is_let_in = co_await this->let_in();
@@ -97,7 +97,7 @@
     this->limit.cancel();
 }
 
-asio::awaitable<bool> RequestFlow::let_in()
+asio::awaitable<bool> RequestHandler::let_in()
 {
     // What crashes whatever runs it costs its account nothing.
     if (this->state.quarantine->held_for(this->fingerprint)) {
@@ -117,14 +117,14 @@
     co_return false;
 }
 
-void RequestFlow::check_may_send()
+void RequestHandler::check_may_send()
 {
     this->check_key();
     if (this->state.quarantine->held_for(this->fingerprint))
         this->stop(StopReason::Quarantined);
 }
 
-void RequestFlow::check_key()
+void RequestHandler::check_key()
 {
     auto const newest = this->state.routes;
     if (newest == this->routes)
@@ -136,7 +136,7 @@
         this->account = identity.account ? identity.account->name : std::string();
 }
 
-void RequestFlow::stop(StopReason reason)
+void RequestHandler::stop(StopReason reason)
 {
     if (this->is_stopped())
         return;
@@ -146,7 +146,7 @@
     this->on_stop();
 }
 
-void RequestFlow::note_sent()
+void RequestHandler::note_sent()
 {
     ++this->sends;
     this->ledger.note_run(monotonic_now());
@@ -154,11 +154,11 @@
     this->before_send = std::exchange(this->earlier, SendHistory::Earlier::MayHaveRun);
 }
 
-void RequestFlow::note_not_executed() { this->earlier = this->before_send; }
+void RequestHandler::note_not_executed() { this->earlier = this->before_send; }
 
-void RequestFlow::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
+void RequestHandler::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
 
-void RequestFlow::note_limit(std::string_view upstream, AnswerFacts const& facts, int status, MonotonicTime sent_at)
+void RequestHandler::note_limit(std::string_view upstream, AnswerFacts const& facts, int status, MonotonicTime sent_at)
 {
     // An answer to another request tells nothing, and behind 421 is another upstream.
     if (facts.identifier != this->request.identifier || status == 421)
@@ -184,7 +184,7 @@
         line.with("before", *before);
 }
 
-asio::awaitable<bool> RequestFlow::take_turn(std::string upstream, Duration longest_wait, Duration turn_patience)
+asio::awaitable<bool> RequestHandler::take_turn(std::string upstream, Duration longest_wait, Duration turn_patience)
 {
     auto const rate = this->state.limiter->rate_of(upstream);
     if (!rate)
@@ -211,7 +211,7 @@
     co_return false;
 }
 
-asio::awaitable<bool> RequestFlow::report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since)
+asio::awaitable<bool> RequestHandler::report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since)
 {
     auto const ran_for = std::chrono::duration_cast<Duration>(monotonic_now() - since);
     // What was broken off for the caller or the clock tells nothing, and one that leaves stops as planned.
@@ -237,24 +237,24 @@
     co_return true;
 }
 
-Duration RequestFlow::patience_left() const
+Duration RequestHandler::patience_left() const
 {
     return std::chrono::duration_cast<Duration>(this->exchange.received_at() + this->request.patience - monotonic_now());
 }
 
-Duration RequestFlow::time_left() const
+Duration RequestHandler::time_left() const
 {
     return std::chrono::duration_cast<Duration>(this->until - monotonic_now());
 }
 
-SendHistory::AnotherSend RequestFlow::take_another_send(std::int64_t sends_so_far, Duration least_time)
+SendHistory::AnotherSend RequestHandler::take_another_send(std::int64_t sends_so_far, Duration least_time)
 {
     if (sends_so_far >= this->route.maximum_attempts || this->time_left() < least_time || this->is_stopped())
         return SendHistory::AnotherSend::Spent;
     return this->try_pay(SendLedger::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
 }
 
-bool RequestFlow::try_pay(SendLedger::Send send)
+bool RequestHandler::try_pay(SendLedger::Send send)
 {
     auto const count = this->ledger.unpaid(send);
     if (count == 0)
@@ -277,7 +277,7 @@
     return is_taken;
 }
 
-asio::awaitable<void> RequestFlow::refuse(std::string_view reason, Duration retry_after)
+asio::awaitable<void> RequestHandler::refuse(std::string_view reason, Duration retry_after)
 {
     if (this->is_stopped() && this->stop_reason == StopReason::CallerLeft) {
         this->log_end("caller_left", reason, 0);
@@ -286,7 +286,7 @@
     co_await this->reject(503, reason, retry_after);
 }
 
-asio::awaitable<void> RequestFlow::fail(int status, std::string_view reason)
+asio::awaitable<void> RequestHandler::fail(int status, std::string_view reason)
 {
     if (this->exchange.has_begun()) {
         this->log_end("broken_off", reason, 0);
@@ -297,7 +297,7 @@
     static_cast<void>(co_await this->exchange.respond(this->state.dialect.own_head(status, this->request.identifier), {}));
 }
 
-asio::awaitable<void> RequestFlow::answer_stopped()
+asio::awaitable<void> RequestHandler::answer_stopped()
 {
     if (this->stop_reason == StopReason::CallerLeft) {
         this->log_end("caller_left", "caller_left", 0);
@@ -318,7 +318,7 @@
         co_await this->fail(504, "out_of_time");
 }
 
-asio::awaitable<void> RequestFlow::reject(int status, std::string_view reason, std::optional<Duration> retry_after)
+asio::awaitable<void> RequestHandler::reject(int status, std::string_view reason, std::optional<Duration> retry_after)
 {
     auto head = this->state.dialect.own_head(status, this->request.identifier);
     if (retry_after)
@@ -328,7 +328,7 @@
     static_cast<void>(co_await this->exchange.respond(std::move(head), {}));
 }
 
-void RequestFlow::log_end(std::string_view outcome, std::string_view reason, int status)
+void RequestHandler::log_end(std::string_view outcome, std::string_view reason, int status)
 {
     auto const took = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
     LogLine line("request_end");
--- a/Libraries/LibRouter/RequestFlow.h
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -17,13 +17,13 @@
 
 /// Carries one request from its route to its final answer. What is common to calls and streams: the time
 /// that is left, the caller's leaving, and the answers of the router's own.
-class RequestFlow : public std::enable_shared_from_this<RequestFlow> {
+class RequestHandler : public std::enable_shared_from_this<RequestHandler> {
 public:
     /// The account is null for callers without one.
-    RequestFlow(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request);
-    virtual ~RequestFlow() = default;
-    RequestFlow(RequestFlow const&) = delete;
-    RequestFlow& operator=(RequestFlow const&) = delete;
+    RequestHandler(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request);
+    virtual ~RequestHandler() = default;
+    RequestHandler(RequestHandler const&) = delete;
+    RequestHandler& operator=(RequestHandler const&) = delete;
 
     asio::awaitable<void> run();
 
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/StreamFlow.h>
+#include <LibRouter/StreamingRequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 
 namespace Spurtide {
@@ -50,20 +50,20 @@
     return whole;
 }
 
-void StreamFlow::on_stop()
+void StreamingRequestHandler::on_stop()
 {
     if (this->wait)
         this->wait->give_up();
 }
 
-void StreamFlow::describe_end(LogLine& line) const
+void StreamingRequestHandler::describe_end(LogLine& line) const
 {
     line.with("visit", this->visit == CallerVisit::Return ? "return" : "first").with("placements", this->placements);
     if (this->first_event_after)
         line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.pause_target));
 }
 
-asio::awaitable<std::optional<PlacementDecision>> StreamFlow::place()
+asio::awaitable<std::optional<PlacementDecision>> StreamingRequestHandler::place()
 {
     auto const& prompt = *this->request.prompt;
     PlacementAsk ask;
@@ -89,7 +89,7 @@
 }
 
 // An account's own rank goes before its routes'.
-std::int64_t StreamFlow::placement_priority() const
+std::int64_t StreamingRequestHandler::placement_priority() const
 {
     constexpr std::int64_t LARGEST = 1000;
     auto const* book = this->routes->configuration().accounts.get();
@@ -98,14 +98,14 @@
     return -of_account * LARGEST - std::clamp<std::int64_t>(this->route.priority, 0, LARGEST - 1);
 }
 
-void StreamFlow::note_visit(PlacementDecision const& decision)
+void StreamingRequestHandler::note_visit(PlacementDecision const& decision)
 {
     // What was found out at the first placement holds on for the next.
     if (this->placements == 0)
         this->visit = std::visit([](auto const& either) { return either.visit; }, decision);
 }
 
-PlacementClient::AskTimes StreamFlow::time_to_place() const
+PlacementClient::AskTimes StreamingRequestHandler::time_to_place() const
 {
     auto const age = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
     auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * CONTINUATION_SHARE);
@@ -126,7 +126,7 @@
 
 // The keeper may reach engines that this VM does not, and does not know where the request has to stay. A data centre that is
 // out of reach is named as a whole: it may have thousands of engines.
-void StreamFlow::add_unreachable(PlacementAsk& ask) const
+void StreamingRequestHandler::add_unreachable(PlacementAsk& ask) const
 {
     auto const now = monotonic_now();
     std::map<std::string_view, bool> is_out;
@@ -146,7 +146,7 @@
     }
 }
 
-asio::awaitable<void> StreamFlow::carry()
+asio::awaitable<void> StreamingRequestHandler::carry()
 {
     while (true) {
         auto const decision = co_await this->place();
@@ -183,7 +183,7 @@
     }
 }
 
-asio::awaitable<bool> StreamFlow::take_turns(PlacementGrant grant)
+asio::awaitable<bool> StreamingRequestHandler::take_turns(PlacementGrant grant)
 {
     std::vector<std::string> engines { grant.decode_engine };
     if (!grant.prefill_engine.empty())
@@ -200,7 +200,7 @@
     co_return true;
 }
 
-asio::awaitable<void> StreamFlow::answer_refusal(PlacementRefusal refusal)
+asio::awaitable<void> StreamingRequestHandler::answer_refusal(PlacementRefusal refusal)
 {
     bool const is_nowhere = refusal.reason == RefusalReason::NoUpstream;
     std::string reason(to_string(refusal.reason));
@@ -214,18 +214,18 @@
         co_await this->refuse(reason, std::min(refusal.retry_after, this->next_turn.value_or(refusal.retry_after)));
 }
 
-std::int64_t StreamFlow::relayed_tokens() const
+std::int64_t StreamingRequestHandler::relayed_tokens() const
 {
     auto const* traits = this->routes->service(this->service);
     return this->events.event_count() * (traits && traits->engine ? traits->engine->tokens_per_event : 1);
 }
 
-void StreamFlow::release()
+void StreamingRequestHandler::release()
 {
     this->state.placement->release(this->request.identifier, this->relayed_tokens(), { this->failed_engine, this->refusing_engines });
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::use(PlacementGrant grant)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::use(PlacementGrant grant)
 {
     auto const* prefill_engine = this->state.upstreams.find(grant.prefill_engine);
     auto const* decode_engine = this->state.upstreams.find(grant.decode_engine);
@@ -273,12 +273,12 @@
     co_return co_await this->decode(decoder, *decode_address, std::move(dispatch));
 }
 
-ConnectionPool::Freshness StreamFlow::freshness() const
+ConnectionPool::Freshness StreamingRequestHandler::freshness() const
 {
     return this->route.is_resumable ? ConnectionPool::Freshness::Any : ConnectionPool::Freshness::Recent;
 }
 
-asio::awaitable<std::optional<HeldCache>> StreamFlow::prefill(UpstreamRecord engine)
+asio::awaitable<std::optional<HeldCache>> StreamingRequestHandler::prefill(UpstreamRecord engine)
 {
     auto const begun = monotonic_now();
     auto const address = parse_address(engine.address);
@@ -359,7 +359,7 @@
     co_return cache;
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
 {
     auto acquired = co_await this->state.pool.acquire(address, this->freshness());
     this->check_may_send();
@@ -443,7 +443,7 @@
     co_return co_await this->give_up(SendEnd::Lost, reason);
 }
 
-void StreamFlow::note_event(MonotonicTime now)
+void StreamingRequestHandler::note_event(MonotonicTime now)
 {
     if (this->exchange.has_begun())
         this->longest_pause = std::max(this->longest_pause, std::chrono::duration_cast<Duration>(now - this->last_event_at));
@@ -455,7 +455,7 @@
     this->last_event_at = now;
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::relay(UpstreamUse& use, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::relay(UpstreamUse& use, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
 {
     while (true) {
         auto piece = co_await connection->read_piece();
@@ -506,7 +506,7 @@
 }
 
 // What follows a send that brought no answer.
-asio::awaitable<StreamFlow::Progress> StreamFlow::give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted)
 {
     // A stream that may go on behind its last event may be sent again, like a call that may be repeated.
     auto const kind = this->route.is_resumable ? RouteKind::Repeatable : RouteKind::NotRepeatable;
@@ -526,7 +526,7 @@
     co_return Progress::Over;
 }
 
-void StreamFlow::free_cache(std::string const& engine_address, std::string const& handle)
+void StreamingRequestHandler::free_cache(std::string const& engine_address, std::string const& handle)
 {
     auto const free = [](RouterState& state, std::string address_text, std::string cache) -> asio::awaitable<void> {
         auto const address = parse_address(address_text);
--- a/Libraries/LibRouter/StreamFlow.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <LibRouter/PlacementClient.h>
-#include <LibRouter/RequestFlow.h>
+#include <LibRouter/RequestHandler.h>
 #include <LibRouter/UpstreamUse.h>
 
 namespace Spurtide {
@@ -29,9 +29,9 @@
 
 /// Carries a request to a model: a place is promised first, then the prompt is read by one engine and the
 /// answer made by another.
-class StreamFlow final : public RequestFlow {
+class StreamingRequestHandler final : public RequestHandler {
 public:
-    using RequestFlow::RequestFlow;
+    using RequestHandler::RequestHandler;
 
 private:
     asio::awaitable<void> carry() override;
--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/PlainFlow.h>
+#include <LibRouter/UnaryRequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <LibRouter/UpstreamUse.h>
 
@@ -40,7 +40,7 @@
 
 }
 
-std::optional<UpstreamRecord> PlainFlow::choose()
+std::optional<UpstreamRecord> UnaryRequestHandler::choose()
 {
     std::vector<UpstreamRecord const*> records;
     this->state.upstreams.for_each([&](UpstreamRecord const& record) {
@@ -69,16 +69,16 @@
     return chosen;
 }
 
-double PlainFlow::cold_rate() const
+double UnaryRequestHandler::cold_rate() const
 {
     auto const* traits = this->routes->service(this->service);
     return traits ? traits->cold_rate : 0;
 }
 
-bool PlainFlow::is_cold(UpstreamRecord const& upstream, MonotonicTime now) const { return now<upstream.cold_until&& this->cold_rate()> 0; }
+bool UnaryRequestHandler::is_cold(UpstreamRecord const& upstream, MonotonicTime now) const { return now<upstream.cold_until&& this->cold_rate()> 0; }
 
 // A cold upstream bears a bounded rate from all VMs together, so this one sends to it in its turn alone.
-void PlainFlow::leave_to_others(std::vector<UpstreamRecord const*>& records, MonotonicTime now)
+void UnaryRequestHandler::leave_to_others(std::vector<UpstreamRecord const*>& records, MonotonicTime now)
 {
     this->next_cold_turn.reset();
     auto const is_cold_one = [&](auto const* record) { return this->is_cold(*record, now); };
@@ -95,7 +95,7 @@
     });
 }
 
-void PlainFlow::leave_out_limited(std::vector<UpstreamRecord const*>& records, MonotonicTime now) const
+void UnaryRequestHandler::leave_out_limited(std::vector<UpstreamRecord const*>& records, MonotonicTime now) const
 {
     std::erase_if(records, [&](auto const* record) { return this->without_turn.contains(record->identity); });
     auto const pause = [&](auto const* record) { return this->state.limiter->pause_left(record->identity, now); };
@@ -106,13 +106,13 @@
     std::erase_if(records, [&](auto const* record) { return record != kept && pause(record) > Duration::zero(); });
 }
 
-Duration PlainFlow::longest_wait_for_turn() const
+Duration UnaryRequestHandler::longest_wait_for_turn() const
 {
     auto const age = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
     return std::max(Duration::zero(), from_seconds(to_seconds(this->route.latency_target) * TURN_WAIT_PART) - age);
 }
 
-asio::awaitable<std::optional<UpstreamRecord>> PlainFlow::choose_with_turn()
+asio::awaitable<std::optional<UpstreamRecord>> UnaryRequestHandler::choose_with_turn()
 {
     this->without_turn.clear();
     while (!this->is_stopped()) {
@@ -133,7 +133,7 @@
     co_return std::nullopt;
 }
 
-asio::awaitable<void> PlainFlow::answer_without_upstream(Attempt const& last)
+asio::awaitable<void> UnaryRequestHandler::answer_without_upstream(Attempt const& last)
 {
     // What an upstream answered is of more use than that no other could be asked.
     if (last.end == SendEnd::OwnFailure) {
@@ -160,7 +160,7 @@
     co_await this->refuse(reason, retry_after);
 }
 
-asio::awaitable<void> PlainFlow::carry()
+asio::awaitable<void> UnaryRequestHandler::carry()
 {
     Attempt last;
     int connect_tries = 0;
@@ -215,7 +215,7 @@
     }
 }
 
-asio::awaitable<PlainFlow::Attempt> PlainFlow::send_to(UpstreamRecord upstream)
+asio::awaitable<UnaryRequestHandler::Attempt> UnaryRequestHandler::send_to(UpstreamRecord upstream)
 {
     Attempt attempt;
     auto const address = parse_address(upstream.address);
@@ -276,7 +276,7 @@
     co_return attempt;
 }
 
-asio::awaitable<PlainFlow::Attempt> PlainFlow::read_answer(std::shared_ptr<HttpConnection> connection)
+asio::awaitable<UnaryRequestHandler::Attempt> UnaryRequestHandler::read_answer(std::shared_ptr<HttpConnection> connection)
 {
     Attempt attempt;
     attempt.end = SendEnd::Lost;
@@ -317,7 +317,7 @@
     co_return attempt;
 }
 
-asio::awaitable<void> PlainFlow::relay(Attempt const& attempt)
+asio::awaitable<void> UnaryRequestHandler::relay(Attempt const& attempt)
 {
     auto const result = co_await this->exchange.respond(this->state.dialect.caller_head(attempt.head), attempt.body);
     this->log_end(result.is_error() ? "caller_left" : "answered", to_string(attempt.end), attempt.head.status);
--- a/Libraries/LibRouter/PlainFlow.h
+++ b/Libraries/LibRouter/UnaryRequestHandler.h
@@ -3,15 +3,15 @@
 
 #pragma once
 
-#include <LibRouter/RequestFlow.h>
+#include <LibRouter/RequestHandler.h>
 #include <set>
 
 namespace Spurtide {
 
 /// Carries a call to a plain service.
-class PlainFlow final : public RequestFlow {
+class UnaryRequestHandler final : public RequestHandler {
 public:
-    using RequestFlow::RequestFlow;
+    using RequestHandler::RequestHandler;
 
 private:
     asio::awaitable<void> carry() override;
