--- a/Libraries/LibRouter/Entry.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibCore/LogLine.h>
-#include <LibRouter/Entry.h>
+#include <LibRouter/RequestRouter.h>
 #include <LibRouter/StreamingRequestHandler.h>
 #include <LibRouter/UnaryRequestHandler.h>
 
@@ -15,7 +15,7 @@
 
 }
 
-asio::awaitable<void> Entry::handle(HttpExchange& exchange)
+asio::awaitable<void> RequestRouter::handle(HttpExchange& exchange)
 {
     auto const& head = exchange.request().head;
     auto const routes = this->state.routes;
@@ -63,7 +63,7 @@
     co_await handler->run();
 }
 
-ExpectedTime Entry::expected_time(Route const& route, CallerRequest const& request) const
+ExpectedTime RequestRouter::expected_time(Route const& route, CallerRequest const& request) const
 {
     ExpectedTime expected;
     expected.longest = std::min(route.timeout, request.patience);
@@ -76,7 +76,7 @@
     return expected;
 }
 
-asio::awaitable<void> Entry::answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier)
+asio::awaitable<void> RequestRouter::answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier)
 {
     LogLine("request_rejected").with("request", identifier).with("status", status).with("reason", reason).with("target", exchange.request().head.target);
     auto head = this->state.dialect.own_head(status, identifier);
--- a/Libraries/LibRouter/Entry.h
+++ b/Libraries/LibRouter/RequestRouter.h
@@ -9,9 +9,9 @@
 namespace Spurtide {
 
 /// Takes callers' requests: finds the route, reads what the request says of itself, and starts its flow.
-class Entry {
+class RequestRouter {
 public:
-    explicit Entry(RouterState& state)
+    explicit RequestRouter(RouterState& state)
         : state(state)
     {
     }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -74,7 +74,7 @@
     , settings(std::move(node_settings))
     , adapters(std::move(node_adapters))
     , state { .loop = loop, .dialect = this->adapters.dialect, .metrics = this->metrics, .data_centre = this->settings.data_centre, .regions = this->settings.regions, .retry_options = this->settings.retry, .length_spread = this->settings.length_spread }
-    , entry(this->state)
+    , request_router(this->state)
     , started_at(monotonic_now())
     , stop_timer(loop)
 {
@@ -144,7 +144,7 @@
     };
     this->host_services();
 
-    auto callers_server = HttpServer::create(this->loop, this->settings.caller_address, [this](auto& exchange) { return this->entry.handle(exchange); });
+    auto callers_server = HttpServer::create(this->loop, this->settings.caller_address, [this](auto& exchange) { return this->request_router.handle(exchange); });
     if (callers_server.is_error())
         return Failure { NodeStartError::CannotListenForCallers };
     this->callers = callers_server.release_value();
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -8,12 +8,12 @@
 #include <LibRouter/CacheReader.h>
 #include <LibRouter/CrashReporter.h>
 #include <LibRouter/EngineKeeper.h>
-#include <LibRouter/Entry.h>
 #include <LibRouter/PlacementClient.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
 #include <LibRouter/RegistryRelay.h>
+#include <LibRouter/RequestRouter.h>
 #include <LibRouter/RoleKeeper.h>
 #include <LibRouter/RouterState.h>
 #include <LibRouter/UpstreamLimiter.h>
@@ -97,7 +97,7 @@
     NodeAdapters adapters;
     Metrics metrics;
     RouterState state;
-    Entry entry;
+    RequestRouter request_router;
     std::unique_ptr<Kernel> kernel;
     std::unique_ptr<MembershipService> membership;
     std::unique_ptr<RegistryRelay> relay;
