--- a/Libraries/LibRouter/EngineKeeper.cpp
+++ b/Libraries/LibRouter/PlacementService.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/EngineKeeper.h>
+#include <LibRouter/PlacementService.h>
 #include <LibWire/WirePlacement.h>
 #include <algorithm>
 #include <utility>
@@ -13,21 +13,21 @@
 namespace {
 
 /// While asks wait, time passes for them in these steps.
-constexpr Duration WAITING_TICK = milliseconds(20);
-constexpr Duration HOUSEKEEPING = milliseconds(500);
+constexpr Duration PENDING_TICK_INTERVAL = milliseconds(20);
+constexpr Duration HOUSEKEEPING_INTERVAL = milliseconds(500);
 /// Longer than news of a new VM takes to come around.
-constexpr Duration ORIGIN_GRACE = seconds(2);
+constexpr Duration DEAD_ORIGIN_GRACE = seconds(2);
 /// Limits of accounts are counted before a place is asked for.
-constexpr double UNLIMITED = 1e9;
+constexpr double UNLIMITED_RATE = 1e9;
 /// Tokens a second before anything was measured, in the order of engines of today.
-constexpr double FIRST_PREFILL_RATE = 50'000;
+constexpr double INITIAL_PREFILL_TOKENS_PER_SECOND = 50'000;
 /// Part of a model's places that are taken before more engines are used. Long prompts fill an engine's memory with half
 /// of its places taken, and a burst of twice the load has to find room at once.
-constexpr double CROWDED_SHARE = 0.25;
+constexpr double CROWDED_SLOT_SHARE = 0.25;
 
 std::string_view visit_name(CallerVisit visit) { return visit == CallerVisit::Return ? "return" : "first"; }
 
-EngineDescription describe(UpstreamRecord const& record, ServiceTraits const& service)
+EngineDescription engine_description(UpstreamRecord const& record, ServiceTraits const& service)
 {
     auto const& traits = *service.engine;
     EngineDescription engine;
@@ -38,7 +38,7 @@
     engine.memory_tokens = traits.memory_tokens;
     engine.cache_bytes_per_token = traits.cache_bytes_per_token;
     engine.link_rate = traits.link_bytes_per_second;
-    engine.prefill_rate = FIRST_PREFILL_RATE;
+    engine.prefill_rate = INITIAL_PREFILL_TOKENS_PER_SECOND;
     engine.tokens_per_event = traits.tokens_per_event;
     engine.data_centre = record.data_centre;
     engine.started = record.started;
@@ -47,7 +47,7 @@
     return engine;
 }
 
-PlacementAsk read_ask(wire::PlacementAsk const& message, MonotonicTime now)
+PlacementAsk ask_from_message(wire::PlacementAsk const& message, MonotonicTime now)
 {
     PlacementAsk ask;
     ask.request = message.request();
@@ -74,23 +74,23 @@
 
 }
 
-EngineKeeper::EngineKeeper(CellScheduler::Options options, Kernel& kernel, Metrics& metrics, asio::io_context& loop)
+PlacementService::PlacementService(CellScheduler::Options options, Kernel& kernel, Metrics& metrics, asio::io_context& loop)
     : scheduler(std::move(options))
     , kernel(kernel)
     , metrics(metrics)
     , timer(loop)
 {
-    this->know_account({});
+    this->ensure_account({});
 }
 
 // An asking VM may have a newer configuration, with accounts that this one has not heard of.
-void EngineKeeper::know_account(std::string const& account)
+void PlacementService::ensure_account(std::string const& account)
 {
     if (this->account_weights.try_emplace(account, 1).second)
-        this->share_among_accounts();
+        this->update_account_weights();
 }
 
-void EngineKeeper::set_accounts(std::span<ClientAccount const> accounts)
+void PlacementService::set_accounts(std::span<ClientAccount const> accounts)
 {
     std::map<std::string, double> weights { { {}, 1 } };
     double largest = 0;
@@ -102,50 +102,50 @@
     if (weights == this->account_weights)
         return;
     this->account_weights = std::move(weights);
-    this->share_among_accounts();
+    this->update_account_weights();
 }
 
-void EngineKeeper::share_among_accounts()
+void PlacementService::update_account_weights()
 {
     std::vector<AccountDescription> descriptions;
     descriptions.reserve(this->account_weights.size());
     for (auto const& [name, weight] : this->account_weights)
-        descriptions.push_back({ name, weight, UNLIMITED, UNLIMITED });
+        descriptions.push_back({ name, weight, UNLIMITED_RATE, UNLIMITED_RATE });
     this->scheduler.set_accounts(descriptions, this->hooks.clock());
 }
 
-void EngineKeeper::start()
+void PlacementService::start()
 {
-    this->kernel.every(HOUSEKEEPING, [this] {
-        auto const now = this->begin_turn();
+    this->kernel.every(HOUSEKEEPING_INTERVAL, [this] {
+        auto const now = this->note_activity();
         // A VM that nobody asks any more does not follow the list.
-        if (std::exchange(this->was_used, false) && this->has_newer_offer)
+        if (std::exchange(this->was_asked, false) && this->has_newer_offer)
             this->refresh_engines();
-        this->forget_gone_origins(now);
+        this->forget_dead_origins(now);
         this->scheduler.advance(now);
-        this->flush();
+        this->send_decisions();
     });
 }
 
-void EngineKeeper::set_engines(RoutingConfiguration const& configuration, UpstreamList const& upstreams)
+void PlacementService::set_engines(RoutingConfiguration const& configuration, UpstreamList const& upstreams)
 {
     std::vector<EngineDescription> engines;
     std::set<std::string, std::less<>> leaving;
-    std::vector<std::pair<UpstreamRecord const*, ServiceTraits const*>> known;
+    std::vector<std::pair<UpstreamRecord const*, ServiceTraits const*>> listed;
     std::vector<SubsetCandidate> candidates;
     upstreams.for_each([&](UpstreamRecord const& record) {
         auto const service = std::find_if(configuration.services.begin(), configuration.services.end(), [&](auto const& other) { return other.name == record.service; });
         if (service == configuration.services.end() || !service->engine || !record.role)
             return;
-        known.emplace_back(&record, &*service);
+        listed.emplace_back(&record, &*service);
         auto const life = record.life == UpstreamRecord::Life::Leaving ? SubsetCandidate::Life::Leaving : SubsetCandidate::Life::Serving;
         candidates.push_back({ record.identity, record.service, record.data_centre, life });
     });
-    this->engine_names.clear();
+    this->subset_engine_names.clear();
     for (auto const index : this->subset.choose(candidates)) {
-        auto const& [record, service] = known[index];
-        engines.push_back(describe(*record, *service));
-        this->engine_names.insert(record->identity);
+        auto const& [record, service] = listed[index];
+        engines.push_back(engine_description(*record, *service));
+        this->subset_engine_names.insert(record->identity);
         if (record->life == UpstreamRecord::Life::Leaving || this->hooks.is_changing_role(record->identity))
             leaving.insert(record->identity);
     }
@@ -154,70 +154,70 @@
         this->scheduler.set_leaving(engine.name, leaving.contains(engine.name) ? EngineReport::Life::Leaving : EngineReport::Life::Serving);
 }
 
-void EngineKeeper::offer_engines(std::shared_ptr<RouteTable const> routes, UpstreamList const& upstreams)
+void PlacementService::offer_engines(std::shared_ptr<RouteTable const> routes, UpstreamList const& upstreams)
 {
     this->offered_routes = std::move(routes);
     this->offered_upstreams = &upstreams;
     this->has_newer_offer = true;
 }
 
-void EngineKeeper::refresh_engines()
+void PlacementService::refresh_engines()
 {
     this->has_newer_offer = false;
     if (this->offered_routes)
         this->set_engines(this->offered_routes->configuration(), *this->offered_upstreams);
 }
 
-void EngineKeeper::take_up_engines()
+void PlacementService::apply_offered_engines()
 {
-    this->was_used = true;
+    this->was_asked = true;
     if (this->has_newer_offer)
         this->refresh_engines();
 }
 
-bool EngineKeeper::works_with(std::string_view engine)
+bool PlacementService::uses_engine(std::string_view engine)
 {
-    this->take_up_engines();
-    return this->engine_names.contains(engine);
+    this->apply_offered_engines();
+    return this->subset_engine_names.contains(engine);
 }
 
 // Engines are left out since they are not needed; whoever waits while there are some shows that they are.
-void EngineKeeper::grow_subset(MonotonicTime now)
+void PlacementService::grow_subset(MonotonicTime now)
 {
     // Where all engines are used already there is nothing to look for.
     if (!this->offered_routes || !this->subset.has_more())
         return;
-    auto needy = this->scheduler.crowded_models(CROWDED_SHARE);
-    std::erase_if(needy, [&](auto const& model) { return !this->subset.has_more(model); });
-    if (needy.empty())
+    auto crowded = this->scheduler.crowded_models(CROWDED_SLOT_SHARE);
+    std::erase_if(crowded, [&](auto const& model) { return !this->subset.has_more(model); });
+    if (crowded.empty())
         return;
-    for (auto const& model : needy)
+    for (auto const& model : crowded)
         this->subset.grow(model);
     this->refresh_engines();
-    LogLine("engines_added").with("models", static_cast<std::int64_t>(needy.size())).with("engines", static_cast<std::int64_t>(this->engine_names.size()));
+    LogLine("engines_added").with("models", static_cast<std::int64_t>(crowded.size())).with("engines", static_cast<std::int64_t>(this->subset_engine_names.size()));
     this->scheduler.advance(now);
 }
 
-std::map<std::string, std::vector<CellScheduler::EngineState>> EngineKeeper::engine_states()
+std::map<std::string, std::vector<CellScheduler::EngineState>> PlacementService::engine_states()
 {
-    this->take_up_engines();
+    this->apply_offered_engines();
     return this->scheduler.engine_states();
 }
 
-MonotonicTime EngineKeeper::begin_turn()
+MonotonicTime PlacementService::note_activity()
 {
     auto const now = this->hooks.clock();
     this->pauses.note_turn(now);
     return now;
 }
 
-void EngineKeeper::handle(wire::Envelope const& request, Kernel::Responder const& respond)
+void PlacementService::handle(wire::Envelope const& request, Kernel::Responder const& respond)
 {
-    auto const now = this->begin_turn();
-    this->take_up_engines();
+    auto const now = this->note_activity();
+    this->apply_offered_engines();
     switch (request.body_case()) {
     case wire::Envelope::kPlacementAsk:
-        this->handle_ask(request.placement_ask(), respond);
+        this->handle_placement_ask(request.placement_ask(), respond);
         break;
     case wire::Envelope::kProgress:
         this->scheduler.progress(request.progress().request(), read_progress(request.progress().progress()), now);
@@ -229,21 +229,21 @@
         // Each prompt that was read for a refused place is lost, so both get nothing until one request tried them.
         for (auto const& engine : release.refusing_engines())
             this->scheduler.note_failure(engine, now);
-        this->waiting.erase(release.request());
+        this->pending_responders.erase(release.request());
         this->scheduler.release(release.request(), release.output_tokens(), now);
         break;
     }
     case wire::Envelope::kGrantRecords:
-        this->handle_records(request.grant_records());
+        this->handle_grant_records(request.grant_records());
         break;
     default:
         respond(error_reply(wire::ERROR_CODE_UNKNOWN_MESSAGE));
         return;
     }
-    this->flush();
+    this->send_decisions();
 }
 
-void EngineKeeper::handle_ask(wire::PlacementAsk const& message, Kernel::Responder const& respond)
+void PlacementService::handle_placement_ask(wire::PlacementAsk const& message, Kernel::Responder const& respond)
 {
     auto const now = this->hooks.clock();
     // Whoever asked while this process stood still has asked another keeper; a place here would be held for nobody.
@@ -256,10 +256,10 @@
         respond(error_reply(wire::ERROR_CODE_NOT_READY));
         return;
     }
-    this->waiting.insert_or_assign(message.request(), respond);
+    this->pending_responders.insert_or_assign(message.request(), respond);
     LogLine("asked").with("request", message.request()).with("prompt_tokens", message.prompt_tokens()).with("maximum_output_tokens", message.maximum_output_tokens()).with("expected_output_tokens", message.expected_output_tokens()).with("first_token_within_ms", message.first_token_within_microseconds() / 1000).with("decide_within_ms", message.decide_within_microseconds() / 1000);
-    auto ask = read_ask(message, now);
-    this->know_account(ask.account);
+    auto ask = ask_from_message(message, now);
+    this->ensure_account(ask.account);
     if (ask.relayed_tokens == 0 && ask.excluded_engines.empty())
         this->hooks.on_first_ask(ask);
     this->scheduler.ask(std::move(ask), now);
@@ -267,12 +267,12 @@
 }
 
 // An earlier keeper may have worked with more engines. One that is gone since is in no choice.
-void EngineKeeper::keep_engines_of(wire::GrantRecords const& message)
+void PlacementService::keep_granted_engines(wire::GrantRecords const& message)
 {
     bool has_new = false;
     for (auto const& record : message.records()) {
         auto const& engine = record.decode_engine();
-        bool const is_left_out = !this->engine_names.contains(engine) && this->offered_upstreams && this->offered_upstreams->find(engine);
+        bool const is_left_out = !this->subset_engine_names.contains(engine) && this->offered_upstreams && this->offered_upstreams->find(engine);
         if (!is_left_out)
             continue;
         this->subset.keep(engine);
@@ -282,10 +282,10 @@
         this->refresh_engines();
 }
 
-void EngineKeeper::handle_records(wire::GrantRecords const& message)
+void PlacementService::handle_grant_records(wire::GrantRecords const& message)
 {
     auto const now = this->hooks.clock();
-    this->keep_engines_of(message);
+    this->keep_granted_engines(message);
     for (auto const& record : message.records()) {
         PlacementAsk ask;
         ask.request = record.request();
@@ -300,7 +300,7 @@
     }
 }
 
-void EngineKeeper::flush()
+void PlacementService::send_decisions()
 {
     for (auto const& decision : this->scheduler.take_decisions()) {
         wire::Envelope reply;
@@ -322,17 +322,17 @@
             auto const summary = this->scheduler.summary(this->hooks.clock());
             LogLine("not_placed").with("request", request).with("visit", visit_name(refusal.visit)).with("reason", to_string(refusal.reason)).with("retry_after_ms", to_milliseconds(refusal.retry_after)).with("waiting", static_cast<std::int64_t>(summary.waiting)).with("granted", static_cast<std::int64_t>(summary.granted)).with("engines", static_cast<std::int64_t>(summary.engines_heard));
         }
-        auto const responder = this->waiting.find(request);
-        if (responder == this->waiting.end())
+        auto const responder = this->pending_responders.find(request);
+        if (responder == this->pending_responders.end())
             continue;
         auto const respond = std::move(responder->second);
-        this->waiting.erase(responder);
+        this->pending_responders.erase(responder);
         respond(std::move(reply));
     }
-    if (this->waiting.empty() || this->is_timer_set)
+    if (this->pending_responders.empty() || this->is_timer_set)
         return;
     this->is_timer_set = true;
-    this->timer.expires_after(WAITING_TICK);
+    this->timer.expires_after(PENDING_TICK_INTERVAL);
     this->timer.async_wait([this](asio::error_code error) {
         // It is cancelled by the end of this alone.
         if (error)
@@ -342,18 +342,18 @@
     });
 }
 
-void EngineKeeper::tick()
+void PlacementService::tick()
 {
-    auto const now = this->begin_turn();
-    this->take_up_engines();
+    auto const now = this->note_activity();
+    this->apply_offered_engines();
     this->scheduler.advance(now);
-    this->flush();
+    this->send_decisions();
 }
 
-void EngineKeeper::forget_gone_origins(MonotonicTime now)
+void PlacementService::forget_dead_origins(MonotonicTime now)
 {
     auto const is_live = [this](std::string const& origin) { return origin == this->kernel.incarnation() || this->kernel.directory().find_incarnation(origin); };
-    for (auto const& origin : this->missing_origins.take_gone(this->scheduler.origins(), is_live, ORIGIN_GRACE, now)) {
+    for (auto const& origin : this->missing_origins.take_gone(this->scheduler.origins(), is_live, DEAD_ORIGIN_GRACE, now)) {
         LogLine("origin_gone").with("origin", origin);
         this->scheduler.forget_origin(origin, now);
     }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -127,11 +127,11 @@
     this->create_quota();
     this->create_quarantine();
     this->create_limiter();
-    this->keeper = std::make_unique<EngineKeeper>(scheduler_options(this->settings), *this->kernel, this->metrics, this->loop);
+    this->placement_service = std::make_unique<PlacementService>(scheduler_options(this->settings), *this->kernel, this->metrics, this->loop);
     CacheReader::Hooks cache_hooks;
     cache_hooks.is_keeper = [this] { return this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
-    cache_hooks.is_used = [this](auto engine) { return this->keeper->works_with(engine); };
-    cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->keeper->note_cached(engine, own_parts); };
+    cache_hooks.is_used = [this](auto engine) { return this->placement_service->uses_engine(engine); };
+    cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->placement_service->note_cached(engine, own_parts); };
     this->cache_reader = std::make_unique<CacheReader>(CacheReader::Options {}, this->state, std::move(cache_hooks));
     this->state.placement = this->placement.get();
     this->state.sending_machines = [this] { return this->membership->sending_machines(); };
@@ -166,7 +166,7 @@
     this->placement->start();
     this->quota->start();
     this->quarantine->start();
-    this->keeper->start();
+    this->placement_service->start();
     if (this->roles)
         this->roles->start();
     this->cache_reader->start();
@@ -182,13 +182,13 @@
     options.lease.length = std::max(this->settings.lease_time, SHORTEST_LEASE);
     RoleKeeper::Hooks hooks;
     hooks.is_keeper = [this] { return !this->is_stopping && this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
-    hooks.engine_states = [this] { return this->keeper->engine_states(); };
+    hooks.engine_states = [this] { return this->placement_service->engine_states(); };
     hooks.on_change = [this] { this->engines_changed(); };
     this->roles = std::make_unique<RoleKeeper>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
-    EngineKeeper::Hooks keeper_hooks;
-    keeper_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
-    keeper_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
-    this->keeper->set_hooks(std::move(keeper_hooks));
+    PlacementService::Hooks placement_hooks;
+    placement_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
+    placement_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
+    this->placement_service->set_hooks(std::move(placement_hooks));
 }
 
 std::size_t Node::live_virtual_machines() const
@@ -267,7 +267,7 @@
         respond(error_reply(wire::ERROR_CODE_UNKNOWN_MESSAGE));
     });
     this->relay->host();
-    this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->keeper->handle(request, respond); });
+    this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->placement_service->handle(request, respond); });
     this->quota_counter->host();
     this->limit_counter->host();
     this->crash_reporter->host();
@@ -355,7 +355,7 @@
 void Node::adopt_accounts()
 {
     auto const& book = this->state.routes->configuration().accounts;
-    this->keeper->set_accounts(book ? std::span<ClientAccount const>(book->accounts()) : std::span<ClientAccount const>());
+    this->placement_service->set_accounts(book ? std::span<ClientAccount const>(book->accounts()) : std::span<ClientAccount const>());
     if (book)
         this->quota_counter->retain(*book);
 }
@@ -385,7 +385,7 @@
 void Node::engines_changed()
 {
     if (this->state.routes)
-        this->keeper->offer_engines(this->state.routes, this->state.upstreams);
+        this->placement_service->offer_engines(this->state.routes, this->state.upstreams);
     auto const is_listed = [this](std::string_view identity) { return this->state.upstreams.find(identity) != nullptr; };
     this->state.selector.retain(is_listed);
     this->state.reachability->retain(is_listed);
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -7,8 +7,8 @@
 #include <LibCore/Metrics.h>
 #include <LibRouter/CacheReader.h>
 #include <LibRouter/CrashReporter.h>
-#include <LibRouter/EngineKeeper.h>
 #include <LibRouter/PlacementClient.h>
+#include <LibRouter/PlacementService.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
@@ -110,7 +110,7 @@
     std::unique_ptr<QuarantineKeeper> quarantine;
     std::unique_ptr<CrashAnalyzer> crash_analyzer;
     std::unique_ptr<CrashReporter> crash_reporter;
-    std::unique_ptr<EngineKeeper> keeper;
+    std::unique_ptr<PlacementService> placement_service;
     /// Empty where engines keep the roles that they have.
     std::unique_ptr<RoleKeeper> roles;
     std::unique_ptr<CacheReader> cache_reader;
--- a/Tests/LibRouter/TestEngineKeeper.cpp
+++ b/Tests/LibRouter/TestPlacementService.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibRouter/EngineKeeper.h>
+#include <LibRouter/PlacementService.h>
 #include <catch2/catch.hpp>
 #include <google/protobuf/stubs/logging.h>
 #include <random>
@@ -22,15 +22,15 @@
 }
 
 /// A keeper on a loop of its own, that is asked without the wire.
-struct KeeperTest {
-    explicit KeeperTest(CellScheduler::Options scheduler_options = {})
+struct PlacementServiceTest {
+    explicit PlacementServiceTest(CellScheduler::Options scheduler_options = {})
     {
         Kernel::Options options;
         options.virtual_machine = "vm-1";
         options.listen_endpoint = "tcp://127.0.0.1:0";
         options.loop = &this->loop;
         this->kernel = Kernel::create(std::move(options)).release_value();
-        this->keeper = std::make_unique<EngineKeeper>(std::move(scheduler_options), *this->kernel, this->metrics, this->loop);
+        this->placement_service = std::make_unique<PlacementService>(std::move(scheduler_options), *this->kernel, this->metrics, this->loop);
     }
 
     /// One engine of each role, of model "m".
@@ -40,7 +40,7 @@
         UpstreamRecord prefill { "p", "m", "127.0.0.1:1", "dc", 8, UpstreamRecord::Life::Serving, EngineRole::Prefill, 0 };
         UpstreamRecord decode { "d", "m", "127.0.0.1:2", "dc", 8, UpstreamRecord::Life::Serving, EngineRole::Decode, 0 };
         upstreams.replace({ { prefill.identity, prefill, 1 }, { decode.identity, decode, 1 } }, 1, MonotonicTime {});
-        this->keeper->set_engines(engines_of_model(), upstreams);
+        this->placement_service->set_engines(engines_of_model(), upstreams);
     }
 
     std::optional<wire::Envelope> ask(std::string const& request, std::string const& origin = "vm-2.1")
@@ -54,21 +54,21 @@
         message->set_maximum_output_tokens(100);
         message->set_first_token_within_microseconds(900'000);
         std::optional<wire::Envelope> reply;
-        this->keeper->handle(envelope, [&](wire::Envelope message_back) { reply = std::move(message_back); });
+        this->placement_service->handle(envelope, [&](wire::Envelope message_back) { reply = std::move(message_back); });
         return reply;
     }
 
     asio::io_context loop { 1 };
     Metrics metrics;
     std::unique_ptr<Kernel> kernel;
-    std::unique_ptr<EngineKeeper> keeper;
+    std::unique_ptr<PlacementService> placement_service;
 };
 
 }
 
 TEST_CASE("A keeper that has not heard of engines says so, and refuses nobody", "[not-run][kill]")
 {
-    KeeperTest test;
+    PlacementServiceTest test;
     auto const reply = test.ask("r1");
     REQUIRE(reply);
     CHECK(reply->error().code() == wire::ERROR_CODE_NOT_READY);
@@ -77,7 +77,7 @@
 
 TEST_CASE("A keeper that knows engines of other models refuses", "[not-run]")
 {
-    KeeperTest test;
+    PlacementServiceTest test;
     RoutingConfiguration configuration;
     ServiceTraits service;
     service.name = "other";
@@ -90,7 +90,7 @@
     record.address = "127.0.0.1:1";
     record.role = EngineRole::Decode;
     upstreams.replace({ { record.identity, record, 1 } }, 1, MonotonicTime {});
-    test.keeper->set_engines(configuration, upstreams);
+    test.placement_service->set_engines(configuration, upstreams);
     auto const reply = test.ask("r1");
     REQUIRE(reply);
     CHECK(reply->has_placement_refusal());
@@ -100,19 +100,19 @@
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    KeeperTest test(options);
+    PlacementServiceTest test(options);
     // From here on time passes by the test alone.
     auto now = monotonic_now();
-    EngineKeeper::Hooks hooks;
+    PlacementService::Hooks hooks;
     hooks.clock = [&] { return now; };
-    test.keeper->set_hooks(std::move(hooks));
+    test.placement_service->set_hooks(std::move(hooks));
     test.add_engines();
     REQUIRE(test.ask("before"));
     now += seconds(7);
     CHECK_FALSE(test.ask("stale-1"));
     now += milliseconds(20);
     CHECK_FALSE(test.ask("stale-2"));
-    CHECK(test.keeper->engine_states().at("m").size() == 2);
+    CHECK(test.placement_service->engine_states().at("m").size() == 2);
     // This VM's own entry asks after the pause.
     CHECK(test.ask("own", test.kernel->incarnation()));
     now += milliseconds(100);
@@ -129,7 +129,7 @@
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
     // The library tells of each text that is no UTF-8.
     google::protobuf::LogSilencer const silencer;
-    KeeperTest test;
+    PlacementServiceTest test;
     test.add_engines();
     std::vector<std::string> corpus;
     for (int kind = 0; kind < 4; ++kind) {
@@ -171,12 +171,12 @@
         }
         wire::Envelope envelope;
         if (envelope.ParseFromString(bytes))
-            test.keeper->handle(envelope, [](wire::Envelope const&) {});
+            test.placement_service->handle(envelope, [](wire::Envelope const&) {});
     }
     // Whatever they made of its accounts is let go in time, and nothing of it is left in the way of a new model.
     wire::Envelope release;
     release.mutable_release()->set_request("r");
-    test.keeper->handle(release, [](wire::Envelope const&) {});
+    test.placement_service->handle(release, [](wire::Envelope const&) {});
     auto const reply = test.ask("r-last");
     if (reply)
         CHECK((reply->has_placement_grant() || reply->has_placement_refusal()));
@@ -186,7 +186,7 @@
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    KeeperTest test(options);
+    PlacementServiceTest test(options);
     UpstreamList upstreams { UpstreamList::Options {} };
     std::vector<UpstreamChange> listed;
     for (int i = 0; i < 4000; ++i) {
@@ -194,7 +194,7 @@
         listed.push_back({ engine.identity, engine, 1 });
     }
     upstreams.replace(listed, 1, MonotonicTime {});
-    test.keeper->offer_engines(std::make_shared<RouteTable const>(engines_of_model()), upstreams);
+    test.placement_service->offer_engines(std::make_shared<RouteTable const>(engines_of_model()), upstreams);
     int granted = 0;
     auto const ask = [&] {
         auto const reply = test.ask("r" + std::to_string(granted));
@@ -204,16 +204,16 @@
         wire::Envelope read;
         read.mutable_progress()->set_request("r" + std::to_string(granted));
         read.mutable_progress()->set_progress(wire::GRANT_PROGRESS_CACHE_HELD);
-        test.keeper->handle(read, [](wire::Envelope) {});
+        test.placement_service->handle(read, [](wire::Envelope) {});
         ++granted;
     };
     ask();
-    auto const at_first = test.keeper->engine_states().at("m").size();
+    auto const at_first = test.placement_service->engine_states().at("m").size();
     CHECK(at_first == 64);
     // Four hundred at once are more than a quarter of what the first engines have places for.
     while (granted < 400)
         ask();
-    auto const at_last = test.keeper->engine_states().at("m").size();
+    auto const at_last = test.placement_service->engine_states().at("m").size();
     CHECK(at_last > at_first);
     CHECK(at_last < 1024);
 }
