--- a/Libraries/LibRouter/CacheReader.cpp
+++ b/Libraries/LibRouter/PromptCacheFetcher.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/CacheReader.h>
+#include <LibRouter/PromptCacheFetcher.h>
 #include <set>
 #include <vector>
 
@@ -12,54 +12,54 @@
 namespace {
 
 /// Names of some thousand parts.
-constexpr std::size_t LARGEST_LIST = 1024UL * 1024;
+constexpr std::size_t MAXIMUM_LIST_BYTES = 1024UL * 1024;
 
 }
 
-CacheReader::CacheReader(Options options, RouterState& state, Hooks hooks)
+PromptCacheFetcher::PromptCacheFetcher(Options options, RouterState& state, Hooks hooks)
     : options(options)
     , state(state)
     , hooks(std::move(hooks))
 {
 }
 
-void CacheReader::start()
+void PromptCacheFetcher::start()
 {
     asio::co_spawn(this->state.loop, this->run(), asio::detached);
 }
 
-asio::awaitable<void> CacheReader::run()
+asio::awaitable<void> PromptCacheFetcher::run()
 {
     std::optional<MonotonicTime> keeper_since;
-    std::set<std::string> asked;
+    std::set<std::string> fetched;
     asio::steady_timer timer(this->state.loop);
     while (true) {
-        timer.expires_after(this->options.look);
+        timer.expires_after(this->options.check_interval);
         asio::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         auto const now = monotonic_now();
         if (!this->hooks.is_keeper()) {
             keeper_since.reset();
-            asked.clear();
+            fetched.clear();
             continue;
         }
         if (!keeper_since)
             keeper_since = now;
-        if (now - *keeper_since < this->options.keeper_for)
+        if (now - *keeper_since < this->options.keeper_settle_time)
             continue;
         // They enter the list one by one.
         std::vector<UpstreamRecord> due;
         this->state.upstreams.for_each([&](UpstreamRecord const& record) {
             bool const is_decoding = record.role == EngineRole::Decode && record.life == UpstreamRecord::Life::Serving;
-            if (is_decoding && this->hooks.is_used(record.identity) && asked.insert(record.identity).second)
+            if (is_decoding && this->hooks.is_used(record.identity) && fetched.insert(record.identity).second)
                 due.push_back(record);
         });
         for (auto const& record : due)
-            co_await this->read(record);
+            co_await this->fetch(record);
     }
 }
 
-asio::awaitable<void> CacheReader::read(UpstreamRecord engine)
+asio::awaitable<void> PromptCacheFetcher::fetch(UpstreamRecord engine)
 {
     auto const address = parse_address(engine.address);
     if (!address)
@@ -67,13 +67,13 @@
     HttpRequest request { this->state.dialect.cached_prompts_head(engine.address), {} };
     ConnectionPool::Call options;
     options.timeout = this->options.timeout;
-    options.largest_body = LARGEST_LIST;
-    auto const answer = co_await this->state.pool.call(*address, std::move(request), std::move(options));
-    if (answer.is_error() || answer.value().head.status != 200 || !answer.value().body) {
-        LogLine("cached_prompts_unread").with("engine", engine.identity).with("reason", answer.is_error() ? to_string(answer.error()) : "status_or_body");
+    options.largest_body = MAXIMUM_LIST_BYTES;
+    auto const response = co_await this->state.pool.call(*address, std::move(request), std::move(options));
+    if (response.is_error() || response.value().head.status != 200 || !response.value().body) {
+        LogLine("cached_prompts_unread").with("engine", engine.identity).with("reason", response.is_error() ? to_string(response.error()) : "status_or_body");
         co_return;
     }
-    auto const parts = this->state.dialect.read_cached_prompts(*answer.value().body);
+    auto const parts = this->state.dialect.read_cached_prompts(*response.value().body);
     if (parts.is_error()) {
         LogLine("cached_prompts_unread").with("engine", engine.identity).with("reason", "malformed");
         co_return;
--- a/Libraries/LibRouter/CacheReader.h
+++ b/Libraries/LibRouter/PromptCacheFetcher.h
@@ -14,12 +14,12 @@
 /// Asks the engines once which prompts they have in memory, when this VM has become their keeper. A keeper that is
 /// new in office does not know where the answers were made that its predecessor's death broke off; their callers
 /// come back all together, and an engine that still has a prompt need not read it again.
-class CacheReader {
+class PromptCacheFetcher {
 public:
     struct Options {
         /// A VM that has just started may take itself for the keeper until it hears of others.
-        Duration keeper_for = milliseconds(300);
-        Duration look = milliseconds(100);
+        Duration keeper_settle_time = milliseconds(300);
+        Duration check_interval = milliseconds(100);
         /// An engine that does not answer by then is passed over.
         Duration timeout = milliseconds(250);
     };
@@ -31,13 +31,13 @@
         std::function<void(std::string_view engine, std::span<std::string const> own_parts)> on_cached;
     };
 
-    CacheReader(Options options, RouterState& state, Hooks hooks);
+    PromptCacheFetcher(Options options, RouterState& state, Hooks hooks);
 
     void start();
 
 private:
     asio::awaitable<void> run();
-    asio::awaitable<void> read(UpstreamRecord engine);
+    asio::awaitable<void> fetch(UpstreamRecord engine);
 
     Options options;
     RouterState& state;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -128,11 +128,11 @@
     this->create_quarantine();
     this->create_limiter();
     this->placement_service = std::make_unique<PlacementService>(scheduler_options(this->settings), *this->kernel, this->metrics, this->loop);
-    CacheReader::Hooks cache_hooks;
-    cache_hooks.is_keeper = [this] { return this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
-    cache_hooks.is_used = [this](auto engine) { return this->placement_service->uses_engine(engine); };
-    cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->placement_service->note_cached(engine, own_parts); };
-    this->cache_reader = std::make_unique<CacheReader>(CacheReader::Options {}, this->state, std::move(cache_hooks));
+    PromptCacheFetcher::Hooks prompt_cache_hooks;
+    prompt_cache_hooks.is_keeper = [this] { return this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
+    prompt_cache_hooks.is_used = [this](auto engine) { return this->placement_service->uses_engine(engine); };
+    prompt_cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->placement_service->note_cached(engine, own_parts); };
+    this->prompt_cache_fetcher = std::make_unique<PromptCacheFetcher>(PromptCacheFetcher::Options {}, this->state, std::move(prompt_cache_hooks));
     this->state.placement = this->placement.get();
     this->state.sending_machines = [this] { return this->membership->sending_machines(); };
     this->state.retry_allowance_part = [this] { return this->retry_allowance_part(); };
@@ -169,7 +169,7 @@
     this->placement_service->start();
     if (this->roles)
         this->roles->start();
-    this->cache_reader->start();
+    this->prompt_cache_fetcher->start();
     this->follower->start();
     this->kernel->every(seconds(1), [this] { this->every_second(); });
     this->kernel->every(LAPSE_CHECK, [this] { this->drop_lapsed(); });
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -5,10 +5,10 @@
 
 #include <LibAsync/HttpServer.h>
 #include <LibCore/Metrics.h>
-#include <LibRouter/CacheReader.h>
 #include <LibRouter/CrashReporter.h>
 #include <LibRouter/PlacementClient.h>
 #include <LibRouter/PlacementService.h>
+#include <LibRouter/PromptCacheFetcher.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
@@ -113,7 +113,7 @@
     std::unique_ptr<PlacementService> placement_service;
     /// Empty where engines keep the roles that they have.
     std::unique_ptr<RoleKeeper> roles;
-    std::unique_ptr<CacheReader> cache_reader;
+    std::unique_ptr<PromptCacheFetcher> prompt_cache_fetcher;
     std::unique_ptr<RegistryFollower> follower;
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> operations;
