--- /dev/null
+++ b/Libraries/LibRouter/InFlightRequest.cpp
@@ -0,0 +1,33 @@
+// SPDX-FileCopyrightText: 2026 The Spurtide developers
+// SPDX-License-Identifier: BSD-2-Clause
+
+#include <LibCore/Clock.h>
+#include <LibRouter/InFlightRequest.h>
+
+namespace Spurtide {
+
+InFlightRequest::InFlightRequest(ReachabilityProber const& prober, UpstreamRecord const& upstream, std::shared_ptr<HttpConnection> const& connection, WhenUnreachable when_unreachable)
+    : record(upstream)
+    , sent_at(monotonic_now())
+    , tracker(prober.tracker())
+    , watched(prober.watched())
+    , watch_position(this->watched->end())
+{
+    this->tracker->note_sent(upstream.identity, upstream.data_centre, this->sent_at);
+    if (when_unreachable == WhenUnreachable::Abort)
+        this->watch_position = this->watched->emplace(upstream.identity, connection);
+}
+
+InFlightRequest::~InFlightRequest()
+{
+    if (this->watch_position != this->watched->end())
+        this->watched->erase(this->watch_position);
+    this->tracker->note_over(this->record.identity);
+}
+
+void InFlightRequest::note_received()
+{
+    this->tracker->note_heard(this->record.identity, monotonic_now());
+}
+
+}
--- a/Libraries/LibRouter/UpstreamUse.h
+++ b/Libraries/LibRouter/InFlightRequest.h
@@ -12,33 +12,33 @@
 
 /// One request at one upstream, from its send to its end, as far as reach goes. End it before its connection goes
 /// back to the pool, where another request may take it.
-class UpstreamUse {
+class InFlightRequest {
 public:
     /// What becomes of the connection when the upstream turns out to be out of reach.
-    enum class OutOfReach {
+    enum class WhenUnreachable {
         Wait,
         /// The request may go on elsewhere.
-        BreakOff,
+        Abort,
     };
 
-    UpstreamUse(ReachabilityProber const& prober, UpstreamRecord const& upstream, std::shared_ptr<HttpConnection> const& connection, OutOfReach out_of_reach);
-    ~UpstreamUse();
-    UpstreamUse(UpstreamUse const&) = delete;
-    UpstreamUse& operator=(UpstreamUse const&) = delete;
+    InFlightRequest(ReachabilityProber const& prober, UpstreamRecord const& upstream, std::shared_ptr<HttpConnection> const& connection, WhenUnreachable when_unreachable);
+    ~InFlightRequest();
+    InFlightRequest(InFlightRequest const&) = delete;
+    InFlightRequest& operator=(InFlightRequest const&) = delete;
 
     /// Something came from the upstream.
-    void note_heard();
+    void note_received();
     UpstreamRecord const& upstream() const { return this->record; }
     std::string const& identity() const { return this->record.identity; }
-    MonotonicTime began_at() const { return this->began; }
+    MonotonicTime send_time() const { return this->sent_at; }
 
 private:
     UpstreamRecord record;
-    MonotonicTime began;
+    MonotonicTime sent_at;
     // Both may outlive the process's state at its end, with the request that waits.
     std::shared_ptr<ReachabilityTracker> tracker;
     std::shared_ptr<ReachabilityProber::Watched> watched;
-    ReachabilityProber::Watched::iterator watch;
+    ReachabilityProber::Watched::iterator watch_position;
 };
 
 }
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -169,7 +169,7 @@
             co_return;
         }
         ++this->placements;
-        auto const progress = co_await this->use(grant);
+        auto const progress = co_await this->run_placement(grant);
         this->release();
         if (!this->failed_engine.empty())
             this->failed_engines.push_back(std::exchange(this->failed_engine, {}));
@@ -225,7 +225,7 @@
     this->state.placement->release(this->request.identifier, this->relayed_tokens(), { this->failed_engine, this->refusing_engines });
 }
 
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::use(PlacementGrant grant)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::run_placement(PlacementGrant grant)
 {
     auto const* prefill_engine = this->state.upstreams.find(grant.prefill_engine);
     auto const* decode_engine = this->state.upstreams.find(grant.decode_engine);
@@ -310,7 +310,7 @@
     this->set_active(connection);
     connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "prefill" } });
-    std::optional<UpstreamUse> use(std::in_place, this->state.prober, engine, connection, UpstreamUse::OutOfReach::BreakOff);
+    std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, InFlightRequest::WhenUnreachable::Abort);
     connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     std::string reason = head.is_error() ? std::string(to_string(head.error())) : "status_" + std::to_string(head.value().status);
@@ -319,7 +319,7 @@
     if (!head.is_error()) {
         auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
         auto const facts = this->state.dialect.read_answer(head.value());
-        this->note_limit(engine.identity, facts, head.value().status, use->began_at());
+        this->note_limit(engine.identity, facts, head.value().status, in_flight->send_time());
         bool const is_its_answer = facts.identifier.empty() || facts.identifier == this->request.identifier;
         if (answer.is_error() || !is_its_answer) {
             connection->abort();
@@ -338,8 +338,8 @@
         static_cast<void>(co_await this->report_crash(engine, head.error(), begun));
     this->ledger.note_prefill(cache ? SendLedger::PrefillEnd::TakenUp : SendLedger::PrefillEnd::NotTakenUp, monotonic_now());
     if (!head.is_error())
-        use->note_heard();
-    use.reset();
+        in_flight->note_received();
+    in_flight.reset();
     this->set_active(nullptr);
     this->state.pool.release(*address, connection);
     // What the caller or the clock cut off says nothing of the engine.
@@ -382,37 +382,37 @@
     dispatch.after_event = this->events.last_identifier();
     this->set_active(connection);
     this->note_sent();
-    auto const out_of_reach = this->route.is_resumable ? UpstreamUse::OutOfReach::BreakOff : UpstreamUse::OutOfReach::Wait;
-    std::optional<UpstreamUse> use(std::in_place, this->state.prober, engine, connection, out_of_reach);
+    auto const when_unreachable = this->route.is_resumable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
+    std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, when_unreachable);
     connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     if (head.is_error()) {
-        auto const began = use->began_at();
-        use.reset();
+        auto const sent_at = in_flight->send_time();
+        in_flight.reset();
         this->set_active(nullptr);
         connection->abort();
         if (this->is_stopped())
             co_return Progress::TryAgain;
-        static_cast<void>(co_await this->report_crash(engine, head.error(), began));
+        static_cast<void>(co_await this->report_crash(engine, head.error(), sent_at));
         if (this->is_stopped())
             co_return Progress::TryAgain;
         this->failed_engine = engine.identity;
         co_return co_await this->give_up(SendEnd::Lost, to_string(head.error()));
     }
-    use->note_heard();
+    in_flight->note_received();
     auto const facts = this->state.dialect.read_answer(head.value());
     auto const status = head.value().status;
-    this->note_limit(engine.identity, facts, status, use->began_at());
+    this->note_limit(engine.identity, facts, status, in_flight->send_time());
     if (facts.identifier == this->request.identifier && status / 100 == 2 && facts.is_signed && !facts.is_encoded) {
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
-        auto const progress = co_await this->relay(*use, connection, head.release_value());
-        use.reset();
+        auto const progress = co_await this->relay(*in_flight, connection, head.release_value());
+        in_flight.reset();
         this->set_active(nullptr);
         this->state.pool.release(address, connection);
         co_return progress;
     }
     auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
-    use.reset();
+    in_flight.reset();
     this->set_active(nullptr);
     if (answer.is_error())
         connection->abort();
@@ -455,7 +455,7 @@
     this->last_event_at = now;
 }
 
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::relay(UpstreamUse& use, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
+asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::relay(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
 {
     while (true) {
         auto piece = co_await connection->read_piece();
@@ -464,19 +464,19 @@
             this->events.drop_broken_event();
             if (this->is_stopped())
                 co_return Progress::TryAgain;
-            bool const has_crashed = co_await this->report_crash(use.upstream(), piece.error(), use.began_at());
+            bool const has_crashed = co_await this->report_crash(in_flight.upstream(), piece.error(), in_flight.send_time());
             if (this->is_stopped())
                 co_return Progress::TryAgain;
             // One answer that broke off says little of the engine, but this request goes on elsewhere. Of one that is gone
             // the keeper hears at once, which else would give it out until its entry lapses.
             if (has_crashed)
-                this->failed_engine = use.identity();
+                this->failed_engine = in_flight.identity();
             else
-                this->failed_engines.push_back(use.identity());
+                this->failed_engines.push_back(in_flight.identity());
             co_return co_await this->give_up(SendEnd::Lost, to_string(piece.error()));
         }
         this->note_event(monotonic_now());
-        use.note_heard();
+        in_flight.note_received();
         bool const is_end = piece.value().empty();
         auto bytes = this->events.take(piece.value());
         // A stream that cannot go on elsewhere need not wait for the end of an event.
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -3,9 +3,9 @@
 
 #pragma once
 
+#include <LibRouter/InFlightRequest.h>
 #include <LibRouter/PlacementClient.h>
 #include <LibRouter/RequestHandler.h>
-#include <LibRouter/UpstreamUse.h>
 
 namespace Spurtide {
 
@@ -50,11 +50,11 @@
     void note_visit(PlacementDecision const& decision);
     asio::awaitable<std::optional<PlacementDecision>> place();
     /// One placement from its grant to its end.
-    asio::awaitable<Progress> use(PlacementGrant grant);
+    asio::awaitable<Progress> run_placement(PlacementGrant grant);
     asio::awaitable<std::optional<HeldCache>> prefill(UpstreamRecord engine);
     asio::awaitable<Progress> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
     void note_event(MonotonicTime now);
-    asio::awaitable<Progress> relay(UpstreamUse& use, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
+    asio::awaitable<Progress> relay(InFlightRequest& run_placement, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
     void add_unreachable(PlacementAsk& ask) const;
     /// Takes a turn at each engine of the grant that named a limit. False where one has none for now: the request is not placed
     /// there again.
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -3,9 +3,9 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
+#include <LibRouter/InFlightRequest.h>
 #include <LibRouter/UnaryRequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
-#include <LibRouter/UpstreamUse.h>
 
 namespace Spurtide {
 
@@ -251,17 +251,17 @@
     dispatch.account = this->account;
     this->set_active(connection);
     this->note_sent();
-    auto const out_of_reach = this->route.kind == RouteKind::Repeatable ? UpstreamUse::OutOfReach::BreakOff : UpstreamUse::OutOfReach::Wait;
-    std::optional<UpstreamUse> use(std::in_place, this->state.prober, upstream, connection, out_of_reach);
+    auto const when_unreachable = this->route.kind == RouteKind::Repeatable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
+    std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, upstream, connection, when_unreachable);
     auto const expected_body = this->exchange.request().head.method == "HEAD" ? MessageParser::ExpectedBody::None : MessageParser::ExpectedBody::AsFramed;
     connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body, expected_body);
     attempt = co_await this->read_answer(connection);
     // Any answer, even another request's, shows that it is there.
     if (attempt.head.status != 0) {
-        use->note_heard();
-        this->note_limit(upstream.identity, this->state.dialect.read_answer(attempt.head), attempt.head.status, use->began_at());
+        in_flight->note_received();
+        this->note_limit(upstream.identity, this->state.dialect.read_answer(attempt.head), attempt.head.status, in_flight->send_time());
     }
-    use.reset();
+    in_flight.reset();
     this->set_active(nullptr);
     auto const now = monotonic_now();
     auto const took = std::chrono::duration_cast<Duration>(now - sent_at);
--- a/Tests/LibRouter/TestUpstreamUse.cpp
+++ b/Tests/LibRouter/TestInFlightRequest.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: BSD-2-Clause
 
 #include <LibCore/Clock.h>
-#include <LibRouter/UpstreamUse.h>
+#include <LibRouter/InFlightRequest.h>
 #include <catch2/catch.hpp>
 
 using namespace Spurtide;
@@ -10,7 +10,7 @@
 namespace {
 
 /// What a request at an upstream is noted with, without any network.
-struct UseTest {
+struct InFlightRequestTest {
     asio::io_context loop { 1 };
     std::shared_ptr<ReachabilityTracker> tracker = std::make_shared<ReachabilityTracker>(ReachabilityTracker::Options {}, "dc");
     ConnectionPool pool { ConnectionPool::Options {} };
@@ -26,10 +26,10 @@
 
 TEST_CASE("A request is watched and counts as waiting from its send to its end, and no longer", "[cut]")
 {
-    UseTest test;
+    InFlightRequestTest test;
     {
-        UpstreamUse const use(test.prober, test.upstream, test.connection, UpstreamUse::OutOfReach::BreakOff);
-        CHECK(use.identity() == "u1");
+        InFlightRequest const in_flight(test.prober, test.upstream, test.connection, InFlightRequest::WhenUnreachable::Abort);
+        CHECK(in_flight.identity() == "u1");
         CHECK(test.prober.watched()->count("u1") == 1);
         CHECK(test.is_waiting());
     }
@@ -39,18 +39,18 @@
 
 TEST_CASE("What must not go on elsewhere is not broken off", "[cut][at-most-once]")
 {
-    UseTest test;
-    UpstreamUse const use(test.prober, test.upstream, test.connection, UpstreamUse::OutOfReach::Wait);
+    InFlightRequestTest test;
+    InFlightRequest const in_flight(test.prober, test.upstream, test.connection, InFlightRequest::WhenUnreachable::Wait);
     CHECK(test.prober.watched()->empty());
     CHECK(test.is_waiting());
 }
 
 TEST_CASE("A request that waits may outlive what it was noted with", "[cut]")
 {
-    auto test = std::make_unique<UseTest>();
-    auto use = std::make_unique<UpstreamUse>(test->prober, test->upstream, test->connection, UpstreamUse::OutOfReach::BreakOff);
+    auto test = std::make_unique<InFlightRequestTest>();
+    auto in_flight = std::make_unique<InFlightRequest>(test->prober, test->upstream, test->connection, InFlightRequest::WhenUnreachable::Abort);
     auto const watched = test->prober.watched();
     test.reset();
-    use.reset();
+    in_flight.reset();
     CHECK(watched->empty());
 }
