--- a/Libraries/LibRouter/CallerRequest.cpp
+++ b/Libraries/LibRouter/CallerRequest.cpp
@@ -6,10 +6,10 @@
 
 namespace Spurtide {
 
-std::string_view to_string(CallerFault fault)
+std::string_view to_string(CallerRequestError error)
 {
     constexpr std::array<std::string_view, 3> NAMES = { "missing_identifier", "bad_patience", "bad_prompt" };
-    return NAMES.at(static_cast<std::size_t>(fault));
+    return NAMES.at(static_cast<std::size_t>(error));
 }
 
 }
--- a/Libraries/LibRouter/CallerRequest.h
+++ b/Libraries/LibRouter/CallerRequest.h
@@ -39,16 +39,16 @@
 };
 
 /// Why a request cannot be taken.
-enum class CallerFault {
+enum class CallerRequestError {
     MissingIdentifier,
     BadPatience,
     BadPrompt,
 };
 
-std::string_view to_string(CallerFault fault);
+std::string_view to_string(CallerRequestError error);
 
 /// Why an upstream's answer to the router itself is of no use.
-enum class UpstreamFault {
+enum class UpstreamResponseError {
     MalformedBody,
 };
 
--- a/Tests/Platform/TestPlatformDialect.cpp
+++ b/Tests/Platform/TestPlatformDialect.cpp
@@ -43,11 +43,11 @@
     struct Case {
         std::string name;
         std::string value;
-        CallerFault fault;
+        CallerRequestError fault;
     };
     auto const given = GENERATE(
-        Case { "X-Spurtide-Attempt-Id", "", CallerFault::MissingIdentifier }, Case { "X-Spurtide-Deadline-Ms", "soon", CallerFault::BadPatience }, Case { "X-Spurtide-Deadline-Ms", "-5", CallerFault::BadPatience },
-        Case { "X-Spurtide-Token-Count", "many", CallerFault::BadPrompt }, Case { "X-Spurtide-Token-Count", "10,-1", CallerFault::BadPrompt }, Case { "X-Spurtide-Token-Count", "99999999999999999999,1", CallerFault::BadPrompt });
+        Case { "X-Spurtide-Attempt-Id", "", CallerRequestError::MissingIdentifier }, Case { "X-Spurtide-Deadline-Ms", "soon", CallerRequestError::BadPatience }, Case { "X-Spurtide-Deadline-Ms", "-5", CallerRequestError::BadPatience },
+        Case { "X-Spurtide-Token-Count", "many", CallerRequestError::BadPrompt }, Case { "X-Spurtide-Token-Count", "10,-1", CallerRequestError::BadPrompt }, Case { "X-Spurtide-Token-Count", "99999999999999999999,1", CallerRequestError::BadPrompt });
     auto request = model_request();
     for (auto& field : request.head.headers.all()) {
         if (equal_names(field.name, given.name))
@@ -116,7 +116,7 @@
     CAPTURE(bad);
     auto const fault = dialect.read_cached_prompts(bad);
     REQUIRE(fault.is_error());
-    CHECK(fault.error() == UpstreamFault::MalformedBody);
+    CHECK(fault.error() == UpstreamResponseError::MalformedBody);
 }
 
 TEST_CASE("The configuration row is read whole, with defaults for what it leaves out")
