--- a/Libraries/LibRouter/CallerRequest.h
+++ b/Libraries/LibRouter/CallerRequest.h
@@ -14,7 +14,7 @@
 namespace Spurtide {
 
 /// What a model request says of its size.
-struct PromptFacts {
+struct PromptInfo {
     std::string model;
     std::int64_t prompt_tokens = 0;
     std::int64_t maximum_output_tokens = 0;
@@ -33,7 +33,7 @@
     /// Of the key that names the caller's account; empty where none came, or more than one.
     std::optional<KeyDigest> key;
     /// Set for requests to models.
-    std::optional<PromptFacts> prompt;
+    std::optional<PromptInfo> prompt;
     /// The last event that the caller has of this stream; empty where it has none.
     std::string last_event;
 };
@@ -81,12 +81,12 @@
 };
 
 /// What an answer says of the requests a second that its upstream takes from all VMs together.
-struct LimitField {
+struct RateLimitHeader {
     enum class State {
         Absent,
-        Named,
+        Present,
         /// It is there, and no number that is zero or more.
-        Unreadable,
+        Malformed,
     } state
         = State::Absent;
     /// Requests a second, where it is named.
@@ -94,7 +94,7 @@
 };
 
 /// What an upstream's answer says beside its status.
-struct AnswerFacts {
+struct ResponseInfo {
     /// The request that it answers; empty where the answer does not tell.
     std::string identifier;
     /// The upstream says that it did not run the request.
@@ -103,7 +103,7 @@
     bool is_signed = false;
     /// The body was changed on its way.
     bool is_encoded = false;
-    LimitField limit {};
+    RateLimitHeader limit {};
 };
 
 /// What an engine says of itself when it is asked.
@@ -128,7 +128,7 @@
 };
 
 /// A prefill's result, kept by its engine for a short time.
-struct HeldCache {
+struct PrefillCache {
     std::string handle;
     std::int64_t tokens = 0;
 };
--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -158,21 +158,21 @@
 
 void RequestHandler::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
 
-void RequestHandler::note_limit(std::string_view upstream, AnswerFacts const& facts, int status, MonotonicTime sent_at)
+void RequestHandler::note_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at)
 {
     // An answer to another request tells nothing, and behind 421 is another upstream.
-    if (facts.identifier != this->request.identifier || status == 421)
+    if (info.identifier != this->request.identifier || status == 421)
         return;
-    if (facts.limit.state == LimitField::State::Unreadable) {
+    if (info.limit.state == RateLimitHeader::State::Malformed) {
         LogLine("upstream_limit_unreadable").with("request", this->request.identifier).with("upstream", upstream);
         return;
     }
     // One that only turns requests away may leave out what it names in others.
-    if (facts.limit.state == LimitField::State::Absent && facts.is_not_executed)
+    if (info.limit.state == RateLimitHeader::State::Absent && info.is_not_executed)
         return;
     UpstreamLimitStatement statement { {}, sent_at };
-    if (facts.limit.state == LimitField::State::Named)
-        statement = { facts.limit.rate, monotonic_now() };
+    if (info.limit.state == RateLimitHeader::State::Present)
+        statement = { info.limit.rate, monotonic_now() };
     auto const before = this->state.limiter->rate_of(upstream);
     if (this->state.limiter->note(upstream, statement) == UpstreamLimitBook::Change::None)
         return;
--- a/Libraries/LibRouter/RequestHandler.h
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -76,7 +76,7 @@
     void note_not_executed();
 
     /// Keeps what an answer to this request, which was sent at that time, says of its upstream's limit.
-    void note_limit(std::string_view upstream, AnswerFacts const& facts, int status, MonotonicTime sent_at);
+    void note_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at);
 
     /// Asks for a turn at an upstream, which it takes where that named a limit, and waits for it. False where none comes within
     /// the wait, or the request was stopped. The patience is how long the caller can wait to come back where it is told to.
@@ -96,7 +96,7 @@
     CallerRequest request;
     RequestFingerprint fingerprint;
     std::string service;
-    /// Named to upstreams; empty for callers without one.
+    /// Present to upstreams; empty for callers without one.
     std::string account;
     std::shared_ptr<std::string const> body;
     Residency residency;
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -278,7 +278,7 @@
     return this->route.is_resumable ? ConnectionPool::Freshness::Any : ConnectionPool::Freshness::Recent;
 }
 
-asio::awaitable<std::optional<HeldCache>> StreamingRequestHandler::prefill(UpstreamRecord engine)
+asio::awaitable<std::optional<PrefillCache>> StreamingRequestHandler::prefill(UpstreamRecord engine)
 {
     auto const begun = monotonic_now();
     auto const address = parse_address(engine.address);
@@ -314,14 +314,14 @@
     connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     std::string reason = head.is_error() ? std::string(to_string(head.error())) : "status_" + std::to_string(head.value().status);
-    std::optional<HeldCache> cache;
-    bool works_as_it_should = false;
+    std::optional<PrefillCache> cache;
+    bool is_engine_healthy = false;
     if (!head.is_error()) {
         auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
-        auto const facts = this->state.dialect.read_answer(head.value());
-        this->note_limit(engine.identity, facts, head.value().status, in_flight->send_time());
-        bool const is_its_answer = facts.identifier.empty() || facts.identifier == this->request.identifier;
-        if (answer.is_error() || !is_its_answer) {
+        auto const info = this->state.dialect.read_answer(head.value());
+        this->note_limit(engine.identity, info, head.value().status, in_flight->send_time());
+        bool const is_matching_response = info.identifier.empty() || info.identifier == this->request.identifier;
+        if (answer.is_error() || !is_matching_response) {
             connection->abort();
             reason = answer.is_error() ? std::string(to_string(answer.error())) : "answer_of_another_request";
         } else if (head.value().status == 200) {
@@ -332,7 +332,7 @@
                 cache = held.release_value();
         }
         // An engine that is full or has begun to leave works as it should.
-        works_as_it_should = facts.is_not_executed;
+        is_engine_healthy = info.is_not_executed;
     }
     if (head.is_error())
         static_cast<void>(co_await this->report_crash(engine, head.error(), begun));
@@ -344,7 +344,7 @@
     this->state.pool.release(*address, connection);
     // What the caller or the clock cut off says nothing of the engine.
     if (!cache && !this->is_stopped()) {
-        if (works_as_it_should) {
+        if (is_engine_healthy) {
             // It is full, leaves or changes its role, and being idle it would be chosen again and again.
             this->failed_engines.push_back(engine.identity);
             this->refusing_engines = { engine.identity };
@@ -400,10 +400,10 @@
         co_return co_await this->give_up(SendEnd::Lost, to_string(head.error()));
     }
     in_flight->note_received();
-    auto const facts = this->state.dialect.read_answer(head.value());
+    auto const info = this->state.dialect.read_answer(head.value());
     auto const status = head.value().status;
-    this->note_limit(engine.identity, facts, status, in_flight->send_time());
-    if (facts.identifier == this->request.identifier && status / 100 == 2 && facts.is_signed && !facts.is_encoded) {
+    this->note_limit(engine.identity, info, status, in_flight->send_time());
+    if (info.identifier == this->request.identifier && status / 100 == 2 && info.is_signed && !info.is_encoded) {
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
         auto const progress = co_await this->relay(*in_flight, connection, head.release_value());
         in_flight.reset();
@@ -418,7 +418,7 @@
         connection->abort();
     this->state.pool.release(address, connection);
     auto const reason = "decode_status_" + std::to_string(status);
-    if (facts.is_not_executed || status == 421) {
+    if (info.is_not_executed || status == 421) {
         this->note_not_executed();
         if (!dispatch.cache_handle.empty())
             this->free_cache(dispatch.cache_address, dispatch.cache_handle);
@@ -432,7 +432,7 @@
     }
     if (this->is_stopped())
         co_return Progress::TryAgain;
-    bool const is_own_failure = facts.is_signed && facts.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !answer.is_error();
+    bool const is_own_failure = info.is_signed && info.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !answer.is_error();
     if (is_own_failure && !this->exchange.has_begun()) {
         this->note_completed();
         auto const sent = co_await this->exchange.respond(this->state.dialect.caller_head(head.value()), answer.value());
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -51,7 +51,7 @@
     asio::awaitable<std::optional<PlacementDecision>> place();
     /// One placement from its grant to its end.
     asio::awaitable<Progress> run_placement(PlacementGrant grant);
-    asio::awaitable<std::optional<HeldCache>> prefill(UpstreamRecord engine);
+    asio::awaitable<std::optional<PrefillCache>> prefill(UpstreamRecord engine);
     asio::awaitable<Progress> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
     void note_event(MonotonicTime now);
     asio::awaitable<Progress> relay(InFlightRequest& run_placement, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -295,20 +295,20 @@
             co_return attempt;
         }
         attempt.body = answer.release_value();
-        auto const facts = this->state.dialect.read_answer(attempt.head);
-        if (!facts.identifier.empty() && facts.identifier != this->request.identifier) {
+        auto const info = this->state.dialect.read_answer(attempt.head);
+        if (!info.identifier.empty() && info.identifier != this->request.identifier) {
             attempt.reason = "answer_of_another_request";
             connection->expect_another_answer();
             continue;
         }
         bool const is_success = attempt.head.status / 100 == 2;
         attempt.reason = "answered";
-        if (facts.is_not_executed || attempt.head.status == 421) {
+        if (info.is_not_executed || attempt.head.status == 421) {
             attempt.end = SendEnd::NotExecuted;
             attempt.reason = attempt.head.status == 421 ? "other_identity" : "upstream_full";
-        } else if (is_success && facts.is_signed && !facts.is_encoded && !facts.identifier.empty())
+        } else if (is_success && info.is_signed && !info.is_encoded && !info.identifier.empty())
             attempt.end = SendEnd::Success;
-        else if (!is_success && facts.is_signed && !facts.is_encoded && attempt.head.status >= 300 && attempt.head.status != 429 && attempt.head.status != 503 && attempt.head.status != 408)
+        else if (!is_success && info.is_signed && !info.is_encoded && attempt.head.status >= 300 && attempt.head.status != 429 && attempt.head.status != 503 && attempt.head.status != 408)
             attempt.end = SendEnd::OwnFailure;
         else
             attempt.reason = "not_its_answer";
--- a/Tests/Platform/TestPlatformDialect.cpp
+++ b/Tests/Platform/TestPlatformDialect.cpp
@@ -163,15 +163,15 @@
     PlatformDialect const dialect;
     struct Case {
         std::string text;
-        LimitField::State state;
+        RateLimitHeader::State state;
         double rate;
     };
     auto const given = GENERATE(
-        Case { "4.3", LimitField::State::Named, 4.3 }, Case { "12", LimitField::State::Named, 12 }, Case { "0", LimitField::State::Named, 0 }, Case { "", LimitField::State::Unreadable, 0 },
-        Case { "-1", LimitField::State::Unreadable, 0 }, Case { "many", LimitField::State::Unreadable, 0 }, Case { "4.3/s", LimitField::State::Unreadable, 0 }, Case { "nan", LimitField::State::Unreadable, 0 }, Case { "inf", LimitField::State::Unreadable, 0 }, Case { "1e999", LimitField::State::Unreadable, 0 });
+        Case { "4.3", RateLimitHeader::State::Present, 4.3 }, Case { "12", RateLimitHeader::State::Present, 12 }, Case { "0", RateLimitHeader::State::Present, 0 }, Case { "", RateLimitHeader::State::Malformed, 0 },
+        Case { "-1", RateLimitHeader::State::Malformed, 0 }, Case { "many", RateLimitHeader::State::Malformed, 0 }, Case { "4.3/s", RateLimitHeader::State::Malformed, 0 }, Case { "nan", RateLimitHeader::State::Malformed, 0 }, Case { "inf", RateLimitHeader::State::Malformed, 0 }, Case { "1e999", RateLimitHeader::State::Malformed, 0 });
     HttpResponseHead head;
     head.status = 200;
-    CHECK(dialect.read_answer(head).limit.state == LimitField::State::Absent);
+    CHECK(dialect.read_answer(head).limit.state == RateLimitHeader::State::Absent);
     head.headers.add("Server-Limit", given.text);
     auto const limit = dialect.read_answer(head).limit;
     CAPTURE(given.text);
