--- a/Libraries/LibRouter/PromptCacheFetcher.cpp
+++ b/Libraries/LibRouter/PromptCacheFetcher.cpp
@@ -64,7 +64,7 @@
     auto const address = parse_address(engine.address);
     if (!address)
         co_return;
-    HttpRequest request { this->state.dialect.cached_prompts_head(engine.address), {} };
+    HttpRequest request { this->state.dialect.cached_prompts_request_head(engine.address), {} };
     ConnectionPool::Call options;
     options.timeout = this->options.timeout;
     options.largest_body = MAXIMUM_LIST_BYTES;
--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -294,7 +294,7 @@
         co_return;
     }
     this->log_end("failed_may_have_run", reason, status);
-    static_cast<void>(co_await this->exchange.respond(this->state.dialect.own_head(status, this->request.identifier), {}));
+    static_cast<void>(co_await this->exchange.respond(this->state.dialect.router_response_head(status, this->request.identifier), {}));
 }
 
 asio::awaitable<void> RequestHandler::answer_stopped()
@@ -320,7 +320,7 @@
 
 asio::awaitable<void> RequestHandler::reject(int status, std::string_view reason, std::optional<Duration> retry_after)
 {
-    auto head = this->state.dialect.own_head(status, this->request.identifier);
+    auto head = this->state.dialect.router_response_head(status, this->request.identifier);
     if (retry_after)
         head.headers.add("Retry-After", format_seconds(std::max(*retry_after, SHORTEST_RETRY_AFTER)));
     this->log_end(status == 503 ? "refused_not_run" : "rejected", reason, status);
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -79,7 +79,7 @@
 asio::awaitable<void> RequestRouter::answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier)
 {
     LogLine("request_rejected").with("request", identifier).with("status", status).with("reason", reason).with("target", exchange.request().head.target);
-    auto head = this->state.dialect.own_head(status, identifier);
+    auto head = this->state.dialect.router_response_head(status, identifier);
     if (status == 503)
         head.headers.add("Retry-After", RETRY_AFTER_SECONDS);
     static_cast<void>(co_await exchange.respond(std::move(head), {}));
--- a/Libraries/LibRouter/RoleKeeper.cpp
+++ b/Libraries/LibRouter/RoleKeeper.cpp
@@ -174,7 +174,7 @@
 
 asio::awaitable<std::optional<EngineStatus>> RoleKeeper::ask_status(Address address)
 {
-    HttpRequest request { this->state.dialect.engine_status_head(address.to_string()), {} };
+    HttpRequest request { this->state.dialect.engine_status_request_head(address.to_string()), {} };
     ConnectionPool::Call options;
     options.timeout = this->options.order_timeout;
     auto const answer = co_await this->state.pool.call(address, std::move(request), std::move(options));
@@ -194,7 +194,7 @@
     options.freshness = ConnectionPool::Freshness::Recent;
     options.timeout = this->options.order_timeout;
     options.may_send = [this] { return this->lease.is_held(monotonic_now()); };
-    auto request = this->state.dialect.role_order(address.to_string(), order);
+    auto request = this->state.dialect.role_order_request(address.to_string(), order);
     auto const answer = co_await this->state.pool.call(address, std::move(request), std::move(options));
     co_return answer.is_error() ? 0 : answer.value().head.status;
 }
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -311,21 +311,21 @@
     connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "prefill" } });
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, InFlightRequest::WhenUnreachable::Abort);
-    connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
+    connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     std::string reason = head.is_error() ? std::string(to_string(head.error())) : "status_" + std::to_string(head.value().status);
     std::optional<PrefillCache> cache;
     bool is_engine_healthy = false;
     if (!head.is_error()) {
         auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
-        auto const info = this->state.dialect.read_answer(head.value());
+        auto const info = this->state.dialect.read_response(head.value());
         this->note_limit(engine.identity, info, head.value().status, in_flight->send_time());
         bool const is_matching_response = info.identifier.empty() || info.identifier == this->request.identifier;
         if (answer.is_error() || !is_matching_response) {
             connection->abort();
             reason = answer.is_error() ? std::string(to_string(answer.error())) : "answer_of_another_request";
         } else if (head.value().status == 200) {
-            auto held = this->state.dialect.read_held_cache(answer.value());
+            auto held = this->state.dialect.read_prefill_cache(answer.value());
             if (held.is_error())
                 reason = "malformed";
             else
@@ -384,7 +384,7 @@
     this->note_sent();
     auto const when_unreachable = this->route.is_resumable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, when_unreachable);
-    connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
+    connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     if (head.is_error()) {
         auto const sent_at = in_flight->send_time();
@@ -400,7 +400,7 @@
         co_return co_await this->give_up(SendEnd::Lost, to_string(head.error()));
     }
     in_flight->note_received();
-    auto const info = this->state.dialect.read_answer(head.value());
+    auto const info = this->state.dialect.read_response(head.value());
     auto const status = head.value().status;
     this->note_limit(engine.identity, info, status, in_flight->send_time());
     if (info.identifier == this->request.identifier && status / 100 == 2 && info.is_signed && !info.is_encoded) {
@@ -435,7 +435,7 @@
     bool const is_own_failure = info.is_signed && info.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !answer.is_error();
     if (is_own_failure && !this->exchange.has_begun()) {
         this->note_completed();
-        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_head(head.value()), answer.value());
+        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_response_head(head.value()), answer.value());
         this->log_end(sent.is_error() ? "caller_left" : "answered", reason, status);
         co_return Progress::Over;
     }
@@ -484,7 +484,7 @@
             bytes += this->events.rest();
         if (!this->exchange.has_begun()) {
             auto const framing = connection->framing() == BodyFraming::UntilClose ? BodyFraming::UntilClose : BodyFraming::Chunked;
-            auto const begun = co_await this->exchange.begin(this->state.dialect.caller_head(head), framing);
+            auto const begun = co_await this->exchange.begin(this->state.dialect.caller_response_head(head), framing);
             if (begun.is_error())
                 co_return Progress::TryAgain;
         }
@@ -532,7 +532,7 @@
         auto const address = parse_address(address_text);
         if (!address)
             co_return;
-        HttpRequest request { state.dialect.free_cache_head(address_text, cache), {} };
+        HttpRequest request { state.dialect.free_cache_request_head(address_text, cache), {} };
         ConnectionPool::Call options;
         options.timeout = FREE_CACHE_TIMEOUT;
         options.largest_body = LARGEST_PREFILL_ANSWER;
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -254,12 +254,12 @@
     auto const when_unreachable = this->route.kind == RouteKind::Repeatable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, upstream, connection, when_unreachable);
     auto const expected_body = this->exchange.request().head.method == "HEAD" ? MessageParser::ExpectedBody::None : MessageParser::ExpectedBody::AsFramed;
-    connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body, expected_body);
-    attempt = co_await this->read_answer(connection);
+    connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body, expected_body);
+    attempt = co_await this->read_response(connection);
     // Any answer, even another request's, shows that it is there.
     if (attempt.head.status != 0) {
         in_flight->note_received();
-        this->note_limit(upstream.identity, this->state.dialect.read_answer(attempt.head), attempt.head.status, in_flight->send_time());
+        this->note_limit(upstream.identity, this->state.dialect.read_response(attempt.head), attempt.head.status, in_flight->send_time());
     }
     in_flight.reset();
     this->set_active(nullptr);
@@ -276,7 +276,7 @@
     co_return attempt;
 }
 
-asio::awaitable<UnaryRequestHandler::Attempt> UnaryRequestHandler::read_answer(std::shared_ptr<HttpConnection> connection)
+asio::awaitable<UnaryRequestHandler::Attempt> UnaryRequestHandler::read_response(std::shared_ptr<HttpConnection> connection)
 {
     Attempt attempt;
     attempt.end = SendEnd::Lost;
@@ -295,7 +295,7 @@
             co_return attempt;
         }
         attempt.body = answer.release_value();
-        auto const info = this->state.dialect.read_answer(attempt.head);
+        auto const info = this->state.dialect.read_response(attempt.head);
         if (!info.identifier.empty() && info.identifier != this->request.identifier) {
             attempt.reason = "answer_of_another_request";
             connection->expect_another_answer();
@@ -319,7 +319,7 @@
 
 asio::awaitable<void> UnaryRequestHandler::relay(Attempt const& attempt)
 {
-    auto const result = co_await this->exchange.respond(this->state.dialect.caller_head(attempt.head), attempt.body);
+    auto const result = co_await this->exchange.respond(this->state.dialect.caller_response_head(attempt.head), attempt.body);
     this->log_end(result.is_error() ? "caller_left" : "answered", to_string(attempt.end), attempt.head.status);
 }
 
--- a/Libraries/LibRouter/UnaryRequestHandler.h
+++ b/Libraries/LibRouter/UnaryRequestHandler.h
@@ -27,7 +27,7 @@
     };
 
     asio::awaitable<Attempt> send_to(UpstreamRecord upstream);
-    asio::awaitable<Attempt> read_answer(std::shared_ptr<HttpConnection> connection);
+    asio::awaitable<Attempt> read_response(std::shared_ptr<HttpConnection> connection);
     std::optional<UpstreamRecord> choose();
     /// The same, with a turn where the upstream named a limit.
     asio::awaitable<std::optional<UpstreamRecord>> choose_with_turn();
--- a/Tests/Platform/TestDamagedDocuments.cpp
+++ b/Tests/Platform/TestDamagedDocuments.cpp
@@ -95,7 +95,7 @@
                 ++readable;
                 CHECK(record->slots > 0);
             }
-            if (auto const cache = dialect.read_held_cache(text); !cache.is_error())
+            if (auto const cache = dialect.read_prefill_cache(text); !cache.is_error())
                 CHECK(cache.value().handle.find('\r') == std::string::npos);
             static_cast<void>(dialect.read_engine_status(text));
             if (auto const entry = read_quarantine_row("00112233445566778899aabbccddeeff", text)) {
--- a/Tests/Platform/TestPlatformDialect.cpp
+++ b/Tests/Platform/TestPlatformDialect.cpp
@@ -68,7 +68,7 @@
     Dispatch dispatch;
     dispatch.patience = milliseconds(1234);
     dispatch.expected_identity = "i-1";
-    auto const head = dialect.upstream_head(request, dispatch);
+    auto const head = dialect.upstream_request_head(request, dispatch);
     for (auto const& field : head.headers.all())
         REQUIRE(field.value != "forged");
     REQUIRE(head.headers.count("X-Spurtide-Deadline-Ms") == 1);
@@ -86,12 +86,12 @@
     PlatformDialect const dialect;
     Dispatch dispatch;
     dispatch.stage = DispatchStage::Prefill;
-    REQUIRE(dialect.upstream_head(model_request(), dispatch).headers.find("X-Spurtide-Serving-Phase") == "prefill");
+    REQUIRE(dialect.upstream_request_head(model_request(), dispatch).headers.find("X-Spurtide-Serving-Phase") == "prefill");
     dispatch.stage = DispatchStage::Decode;
     dispatch.cache_address = "10.1.64.9:8080";
     dispatch.cache_handle = "3fa0";
     dispatch.after_event = "30";
-    auto const decode = dialect.upstream_head(model_request(), dispatch);
+    auto const decode = dialect.upstream_request_head(model_request(), dispatch);
     REQUIRE(decode.headers.find("X-Spurtide-Kv-Source") == "10.1.64.9:8080/3fa0");
     REQUIRE(decode.headers.count("Last-Event-Id") == 1);
     REQUIRE(decode.headers.find("Last-Event-Id") == "30");
@@ -171,9 +171,9 @@
         Case { "-1", RateLimitHeader::State::Malformed, 0 }, Case { "many", RateLimitHeader::State::Malformed, 0 }, Case { "4.3/s", RateLimitHeader::State::Malformed, 0 }, Case { "nan", RateLimitHeader::State::Malformed, 0 }, Case { "inf", RateLimitHeader::State::Malformed, 0 }, Case { "1e999", RateLimitHeader::State::Malformed, 0 });
     HttpResponseHead head;
     head.status = 200;
-    CHECK(dialect.read_answer(head).limit.state == RateLimitHeader::State::Absent);
+    CHECK(dialect.read_response(head).limit.state == RateLimitHeader::State::Absent);
     head.headers.add("Server-Limit", given.text);
-    auto const limit = dialect.read_answer(head).limit;
+    auto const limit = dialect.read_response(head).limit;
     CAPTURE(given.text);
     CHECK(limit.state == given.state);
     CHECK(limit.rate == given.rate);
