--- a/Libraries/LibRouter/CallerRequest.h
+++ b/Libraries/LibRouter/CallerRequest.h
@@ -29,7 +29,7 @@
     /// Names one attempt of a caller; no other request has the same.
     std::string identifier;
     /// How long the caller waits from when it sent the request.
-    Duration patience = seconds(30);
+    Duration caller_timeout = seconds(30);
     /// Of the key that names the caller's account; empty where none came, or more than one.
     std::optional<KeyDigest> key;
     /// Set for requests to models.
@@ -66,7 +66,7 @@
 struct Dispatch {
     DispatchStage stage = DispatchStage::Whole;
     /// What is left of the caller's patience.
-    Duration patience {};
+    Duration remaining_time {};
     /// The life of the upstream that is meant; any other does not run the request.
     std::string expected_identity;
     /// The caller's account; empty where it has none.
--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -61,7 +61,7 @@
     , body(std::make_shared<std::string const>(exchange.request().body))
     , residency(route.home_regions, account ? account->home_regions : std::vector<std::string>())
     , ledger(state.budget_of(this->service))
-    , until(exchange.received_at() + std::min(route.timeout, this->request.patience))
+    , until(exchange.received_at() + std::min(route.timeout, this->request.caller_timeout))
     , counted_account(this->account)
     , cost(account ? account->cost_of(tokens_of(this->request)) : 0)
     , limit(state.loop)
@@ -107,7 +107,7 @@
     }
     if (this->cost <= 0)
         co_return true;
-    auto const decision = co_await this->state.quota->take(this->account, this->cost, this->patience_left());
+    auto const decision = co_await this->state.quota->take(this->account, this->cost, this->caller_time_left());
     if (decision.outcome == QuotaClient::Outcome::Counted)
         co_return true;
     if (this->stop_reason == StopReason::CallerLeft)
@@ -237,9 +237,9 @@
     co_return true;
 }
 
-Duration RequestHandler::patience_left() const
+Duration RequestHandler::caller_time_left() const
 {
-    return std::chrono::duration_cast<Duration>(this->exchange.received_at() + this->request.patience - monotonic_now());
+    return std::chrono::duration_cast<Duration>(this->exchange.received_at() + this->request.caller_timeout - monotonic_now());
 }
 
 Duration RequestHandler::time_left() const
@@ -342,7 +342,7 @@
         .with("status", status)
         .with("sends", this->sends)
         .with("target_ms", to_milliseconds(this->route.latency_target))
-        .with("patience_ms", to_milliseconds(this->request.patience))
+        .with("patience_ms", to_milliseconds(this->request.caller_timeout))
         .with("ms", to_milliseconds(took));
     this->describe_end(line);
     std::string const kind = this->request.prompt ? "stream" : "call";
--- a/Libraries/LibRouter/RequestHandler.h
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -51,7 +51,7 @@
     bool is_stopped() const { return this->stop_reason != StopReason::None; }
     /// The connection that ends when the request is stopped.
     void set_active(std::shared_ptr<HttpConnection> connection) { this->active = std::move(connection); }
-    Duration patience_left() const;
+    Duration caller_time_left() const;
     Duration time_left() const;
 
     /// Answers that the request has not run and when to come back.
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -66,7 +66,7 @@
 ExpectedTime RequestRouter::expected_time(Route const& route, CallerRequest const& request) const
 {
     ExpectedTime expected;
-    expected.longest = std::min(route.timeout, request.patience);
+    expected.longest = std::min(route.timeout, request.caller_timeout);
     if (!request.prompt || route.targets.empty())
         return expected;
     auto const& prompt = *request.prompt;
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -305,7 +305,7 @@
     dispatch.stage = DispatchStage::Prefill;
     dispatch.expected_identity = engine.identity;
     dispatch.account = this->account;
-    dispatch.patience = std::min(this->patience_left(), this->time_left());
+    dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
     this->set_active(connection);
     connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
@@ -378,7 +378,7 @@
     }
     auto const connection = acquired.release_value();
     dispatch.account = this->account;
-    dispatch.patience = std::min(this->patience_left(), this->time_left());
+    dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
     this->set_active(connection);
     this->note_sent();
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -121,7 +121,7 @@
             co_return std::nullopt;
         // While there are others it goes to one of them instead of waiting.
         auto const wait = this->was_only_choice ? this->longest_wait_for_turn() : Duration::zero();
-        auto const turn_patience = this->was_only_choice ? this->patience_left() : Duration::zero();
+        auto const turn_patience = this->was_only_choice ? this->caller_time_left() : Duration::zero();
         bool const has_turn = co_await this->take_turn(upstream->identity, wait, turn_patience);
         if (has_turn)
             co_return upstream;
@@ -246,7 +246,7 @@
         co_return attempt;
     }
     Dispatch dispatch;
-    dispatch.patience = std::min(this->patience_left(), this->time_left());
+    dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.expected_identity = upstream.identity;
     dispatch.account = this->account;
     this->set_active(connection);
--- a/Tests/Platform/TestPlatformDialect.cpp
+++ b/Tests/Platform/TestPlatformDialect.cpp
@@ -30,7 +30,7 @@
     auto const read = dialect.read_request(model_request().head);
     REQUIRE_FALSE(read.is_error());
     REQUIRE(read.value().identifier == "id-1");
-    REQUIRE(read.value().patience == seconds(14));
+    REQUIRE(read.value().caller_timeout == seconds(14));
     REQUIRE(read.value().last_event == "12");
     REQUIRE(read.value().prompt->prompt_tokens == 1460);
     REQUIRE(read.value().prompt->maximum_output_tokens == 80);
@@ -66,7 +66,7 @@
     for (auto const* name : { "X-Spurtide-Kv-Source", "x-spurtide-kv-source", "X-SPURTIDE-SERVING-PHASE", "X-Spurtide-Expect-Instance", "X-Spurtide-Request-Urgency", "X-Spurtide-Pin-Ms", "X-Spurtide-Kv-Hold", "X-Spurtide-Kv-Backup", "Kv-Fetch", "X-Spurtide-Expect-Version", "Connection", "Transfer-Encoding", "Keep-Alive", "Expect" })
         request.head.headers.add(name, "forged");
     Dispatch dispatch;
-    dispatch.patience = milliseconds(1234);
+    dispatch.remaining_time = milliseconds(1234);
     dispatch.expected_identity = "i-1";
     auto const head = dialect.upstream_request_head(request, dispatch);
     for (auto const& field : head.headers.all())
