--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 /// A caller that comes back sooner meets the same trouble.
-constexpr Duration SHORTEST_RETRY_AFTER = milliseconds(100);
+constexpr Duration MINIMUM_RETRY_AFTER = milliseconds(100);
 
 std::string format_seconds(Duration duration)
 {
@@ -29,14 +29,14 @@
 
 /// The tokens that a request names, prompt and longest answer together. Callers may name any number, so that whole ones
 /// would not hold the sum.
-std::optional<double> tokens_of(CallerRequest const& request)
+std::optional<double> total_tokens(CallerRequest const& request)
 {
     if (!request.prompt)
         return {};
     return static_cast<double>(request.prompt->prompt_tokens) + static_cast<double>(request.prompt->maximum_output_tokens);
 }
 
-RequestFingerprint fingerprint_of(HttpRequest const& request, ClientAccount const* account)
+RequestFingerprint compute_fingerprint(HttpRequest const& request, ClientAccount const* account)
 {
     RequestFingerprint::Parts parts;
     parts.method = request.head.method;
@@ -55,16 +55,16 @@
     , routes(std::move(routes))
     , route(route)
     , request(std::move(request))
-    , fingerprint(fingerprint_of(exchange.request(), account))
+    , fingerprint(compute_fingerprint(exchange.request(), account))
     , service(route.target_for(XXH3_64bits(this->request.identifier.data(), this->request.identifier.size())))
     , account(account ? account->name : std::string())
     , body(std::make_shared<std::string const>(exchange.request().body))
     , residency(route.home_regions, account ? account->home_regions : std::vector<std::string>())
     , ledger(state.budget_of(this->service))
-    , until(exchange.received_at() + std::min(route.timeout, this->request.caller_timeout))
+    , deadline(exchange.received_at() + std::min(route.timeout, this->request.caller_timeout))
     , counted_account(this->account)
-    , cost(account ? account->cost_of(tokens_of(this->request)) : 0)
-    , limit(state.loop)
+    , quota_cost(account ? account->cost_of(total_tokens(this->request)) : 0)
+    , deadline_timer(state.loop)
 {
 }
 
@@ -76,28 +76,28 @@
         if (auto const handler = weak.lock())
             handler->stop(StopReason::CallerLeft);
     });
-    this->limit.expires_at(this->until);
-    this->limit.async_wait([weak](asio::error_code error) {
+    this->deadline_timer.expires_at(this->deadline);
+    this->deadline_timer.async_wait([weak](asio::error_code error) {
         auto const handler = weak.lock();
         if (!error && handler)
             handler->stop(StopReason::OutOfTime);
     });
     this->state.budget_of(this->service).note_request(monotonic_now());
-    bool const is_let_in = co_await this->let_in();
-    if (is_let_in) {
+    bool const is_admitted = co_await this->admit();
+    if (is_admitted) {
         if (this->is_stopped())
             co_await this->answer_stopped();
         else
-            co_await this->carry();
+            co_await this->forward_request();
         // What has not run costs the account nothing.
-        if (this->cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
-            this->state.quota->give_back(this->counted_account, this->cost);
+        if (this->quota_cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
+            this->state.quota->give_back(this->counted_account, this->quota_cost);
     }
     this->ledger.give_back_unused();
-    this->limit.cancel();
+    this->deadline_timer.cancel();
 }
 
-asio::awaitable<bool> RequestHandler::let_in()
+asio::awaitable<bool> RequestHandler::admit()
 {
     // What crashes whatever runs it costs its account nothing.
     if (this->state.quarantine->held_for(this->fingerprint)) {
@@ -105,9 +105,9 @@
         co_await this->answer_stopped();
         co_return false;
     }
-    if (this->cost <= 0)
+    if (this->quota_cost <= 0)
         co_return true;
-    auto const decision = co_await this->state.quota->take(this->account, this->cost, this->caller_time_left());
+    auto const decision = co_await this->state.quota->take(this->account, this->quota_cost, this->caller_time_left());
     if (decision.outcome == QuotaClient::Outcome::Counted)
         co_return true;
     if (this->stop_reason == StopReason::CallerLeft)
@@ -117,7 +117,7 @@
     co_return false;
 }
 
-void RequestHandler::check_may_send()
+void RequestHandler::recheck_admission()
 {
     this->check_key();
     if (this->state.quarantine->held_for(this->fingerprint))
@@ -141,8 +141,8 @@
     if (this->is_stopped())
         return;
     this->stop_reason = reason;
-    if (this->active)
-        this->active->abort();
+    if (this->active_connection)
+        this->active_connection->abort();
     this->on_stop();
 }
 
@@ -151,10 +151,10 @@
     ++this->sends;
     this->ledger.note_run(monotonic_now());
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "run" } });
-    this->before_send = std::exchange(this->earlier, SendHistory::Earlier::MayHaveRun);
+    this->earlier_before_send = std::exchange(this->earlier, SendHistory::Earlier::MayHaveRun);
 }
 
-void RequestHandler::note_not_executed() { this->earlier = this->before_send; }
+void RequestHandler::note_not_executed() { this->earlier = this->earlier_before_send; }
 
 void RequestHandler::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
 
@@ -244,7 +244,7 @@
 
 Duration RequestHandler::time_left() const
 {
-    return std::chrono::duration_cast<Duration>(this->until - monotonic_now());
+    return std::chrono::duration_cast<Duration>(this->deadline - monotonic_now());
 }
 
 SendHistory::AnotherSend RequestHandler::take_another_send(std::int64_t sends_so_far, Duration least_time)
@@ -313,7 +313,7 @@
     else if (this->stop_reason == StopReason::KeyRevoked)
         co_await this->fail(502, "key_revoked");
     else if (has_not_run)
-        co_await this->refuse("out_of_time", SHORTEST_RETRY_AFTER);
+        co_await this->refuse("out_of_time", MINIMUM_RETRY_AFTER);
     else
         co_await this->fail(504, "out_of_time");
 }
@@ -322,7 +322,7 @@
 {
     auto head = this->state.dialect.router_response_head(status, this->request.identifier);
     if (retry_after)
-        head.headers.add("Retry-After", format_seconds(std::max(*retry_after, SHORTEST_RETRY_AFTER)));
+        head.headers.add("Retry-After", format_seconds(std::max(*retry_after, MINIMUM_RETRY_AFTER)));
     this->log_end(status == 503 ? "refused_not_run" : "rejected", reason, status);
     // A caller that does not take the answer is gone; there is nobody left to tell.
     static_cast<void>(co_await this->exchange.respond(std::move(head), {}));
--- a/Libraries/LibRouter/RequestHandler.h
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -38,7 +38,7 @@
         Quarantined,
     };
 
-    virtual asio::awaitable<void> carry() = 0;
+    virtual asio::awaitable<void> forward_request() = 0;
     /// Adds to the line that says how the request ended.
     virtual void describe_end(LogLine&) const { }
     /// Called once when the caller left or time is up.
@@ -46,11 +46,11 @@
 
     /// Stops the request where it may not be sent any more, though it might when it came: the newest configuration may have
     /// taken its caller's key away, and it may have crashed upstreams elsewhere. Call right before a send.
-    void check_may_send();
+    void recheck_admission();
 
     bool is_stopped() const { return this->stop_reason != StopReason::None; }
     /// The connection that ends when the request is stopped.
-    void set_active(std::shared_ptr<HttpConnection> connection) { this->active = std::move(connection); }
+    void set_active_connection(std::shared_ptr<HttpConnection> connection) { this->active_connection = std::move(connection); }
     Duration caller_time_left() const;
     Duration time_left() const;
 
@@ -87,7 +87,7 @@
     asio::awaitable<bool> report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since);
 
     /// Whether the request may be served there, and what it brings may be kept there.
-    bool may_go_to(std::string_view data_centre) const { return this->residency.allows(data_centre, this->state.regions); }
+    bool may_use_data_centre(std::string_view data_centre) const { return this->residency.allows(data_centre, this->state.regions); }
 
     RouterState& state;
     HttpExchange& exchange;
@@ -101,7 +101,7 @@
     std::shared_ptr<std::string const> body;
     Residency residency;
     SendLedger ledger;
-    MonotonicTime until;
+    MonotonicTime deadline;
     SendHistory::Earlier earlier = SendHistory::Earlier::HasNotRun;
     int sends = 0;
     /// Time until one of the upstreams may have a turn that had none; empty where none was asked for in vain.
@@ -112,17 +112,17 @@
     void check_key();
     /// Whether the request may be carried: not where it is kept from upstreams or over its account's limit, against which
     /// it is counted. Answers it where it may not.
-    asio::awaitable<bool> let_in();
+    asio::awaitable<bool> admit();
     asio::awaitable<void> reject(int status, std::string_view reason, std::optional<Duration> retry_after);
 
     StopReason stop_reason = StopReason::None;
-    SendHistory::Earlier before_send = SendHistory::Earlier::HasNotRun;
+    SendHistory::Earlier earlier_before_send = SendHistory::Earlier::HasNotRun;
     /// Whose limit it counts against, though its key may be another account's by the time that it is sent.
     std::string counted_account;
     /// What it counts against the account's limit.
-    double cost = 0;
-    std::shared_ptr<HttpConnection> active;
-    asio::steady_timer limit;
+    double quota_cost = 0;
+    std::shared_ptr<HttpConnection> active_connection;
+    asio::steady_timer deadline_timer;
 };
 
 }
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -135,7 +135,7 @@
             return;
         auto const [known, is_new] = is_out.try_emplace(record.data_centre, false);
         if (is_new)
-            known->second = !this->may_go_to(record.data_centre) || this->state.reachability->is_cut_off(record.data_centre, now);
+            known->second = !this->may_use_data_centre(record.data_centre) || this->state.reachability->is_cut_off(record.data_centre, now);
         bool const is_paused = this->state.limiter->pause_left(record.identity, now) > Duration::zero();
         if (!known->second && (is_paused || !this->state.reachability->is_reachable(record.identity, record.data_centre, now)))
             ask.excluded_engines.push_back(record.identity);
@@ -146,7 +146,7 @@
     }
 }
 
-asio::awaitable<void> StreamingRequestHandler::carry()
+asio::awaitable<void> StreamingRequestHandler::forward_request()
 {
     while (true) {
         auto const decision = co_await this->place();
@@ -294,7 +294,7 @@
         co_return std::nullopt;
     }
     auto const connection = acquired.release_value();
-    this->check_may_send();
+    this->recheck_admission();
     if (this->is_stopped() || !this->state.upstreams.takes_work(engine.identity)) {
         this->state.pool.release(*address, connection);
         if (!this->is_stopped())
@@ -307,7 +307,7 @@
     dispatch.account = this->account;
     dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
-    this->set_active(connection);
+    this->set_active_connection(connection);
     connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "prefill" } });
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, InFlightRequest::WhenUnreachable::Abort);
@@ -340,7 +340,7 @@
     if (!head.is_error())
         in_flight->note_received();
     in_flight.reset();
-    this->set_active(nullptr);
+    this->set_active_connection(nullptr);
     this->state.pool.release(*address, connection);
     // What the caller or the clock cut off says nothing of the engine.
     if (!cache && !this->is_stopped()) {
@@ -362,7 +362,7 @@
 asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
 {
     auto acquired = co_await this->state.pool.acquire(address, this->freshness());
-    this->check_may_send();
+    this->recheck_admission();
     if (acquired.is_error() || this->is_stopped() || !this->state.upstreams.takes_work(engine.identity)) {
         if (!dispatch.cache_handle.empty())
             this->free_cache(dispatch.cache_address, dispatch.cache_handle);
@@ -380,7 +380,7 @@
     dispatch.account = this->account;
     dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
-    this->set_active(connection);
+    this->set_active_connection(connection);
     this->note_sent();
     auto const when_unreachable = this->route.is_resumable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, when_unreachable);
@@ -389,7 +389,7 @@
     if (head.is_error()) {
         auto const sent_at = in_flight->send_time();
         in_flight.reset();
-        this->set_active(nullptr);
+        this->set_active_connection(nullptr);
         connection->abort();
         if (this->is_stopped())
             co_return Progress::TryAgain;
@@ -407,13 +407,13 @@
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
         auto const progress = co_await this->relay(*in_flight, connection, head.release_value());
         in_flight.reset();
-        this->set_active(nullptr);
+        this->set_active_connection(nullptr);
         this->state.pool.release(address, connection);
         co_return progress;
     }
     auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
     in_flight.reset();
-    this->set_active(nullptr);
+    this->set_active_connection(nullptr);
     if (answer.is_error())
         connection->abort();
     this->state.pool.release(address, connection);
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -34,7 +34,7 @@
     using RequestHandler::RequestHandler;
 
 private:
-    asio::awaitable<void> carry() override;
+    asio::awaitable<void> forward_request() override;
     void on_stop() override;
     void describe_end(LogLine& line) const override;
 
@@ -54,7 +54,7 @@
     asio::awaitable<std::optional<PrefillCache>> prefill(UpstreamRecord engine);
     asio::awaitable<Progress> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
     void note_event(MonotonicTime now);
-    asio::awaitable<Progress> relay(InFlightRequest& run_placement, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
+    asio::awaitable<Progress> relay(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
     void add_unreachable(PlacementAsk& ask) const;
     /// Takes a turn at each engine of the grant that named a limit. False where one has none for now: the request is not placed
     /// there again.
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 /// Less time than this is not worth another send.
-constexpr Duration LEAST_TIME_FOR_SEND = milliseconds(50);
+constexpr Duration MINIMUM_TIME_FOR_SEND = milliseconds(50);
 /// Connections that do not come up cost nobody anything but time.
-constexpr int CONNECT_TRIES = 3;
-constexpr std::size_t LARGEST_ANSWER = 8UL * 1024 * 1024;
-constexpr Duration FULL_RETRY_AFTER = milliseconds(300);
+constexpr int MAXIMUM_CONNECT_ATTEMPTS = 3;
+constexpr std::size_t MAXIMUM_RESPONSE_BYTES = 8UL * 1024 * 1024;
+constexpr Duration FULL_UPSTREAM_RETRY_AFTER = milliseconds(300);
 constexpr Duration NO_UPSTREAM_RETRY_AFTER = milliseconds(500);
 /// Of the latency target, what a request may wait for its turn at an upstream; the rest is left for the answer.
-constexpr double TURN_WAIT_PART = 0.5;
+constexpr double TURN_WAIT_SHARE = 0.5;
 /// An answer to another request may come in the place of the one that is due.
-constexpr int SURPLUS_ANSWERS = 3;
+constexpr int MAXIMUM_MISMATCHED_RESPONSES = 3;
 
-Duration time_of_day() { return milliseconds(unix_milliseconds()); }
+Duration unix_time() { return milliseconds(unix_milliseconds()); }
 
 UpstreamOutcome outcome_of(SendEnd end)
 {
@@ -40,11 +40,11 @@
 
 }
 
-std::optional<UpstreamRecord> UnaryRequestHandler::choose()
+std::optional<UpstreamRecord> UnaryRequestHandler::choose_upstream()
 {
     std::vector<UpstreamRecord const*> records;
     this->state.upstreams.for_each([&](UpstreamRecord const& record) {
-        if (record.service == this->service && record.life == UpstreamRecord::Life::Serving && this->may_go_to(record.data_centre) && !this->tried.contains(record.identity))
+        if (record.service == this->service && record.life == UpstreamRecord::Life::Serving && this->may_use_data_centre(record.data_centre) && !this->tried_upstreams.contains(record.identity))
             records.push_back(&record);
     });
     auto const now = monotonic_now();
@@ -52,8 +52,8 @@
     // Where none can be reached, one of them may be again.
     if (std::any_of(records.begin(), records.end(), is_reachable))
         std::erase_if(records, [&](auto const* record) { return !is_reachable(record); });
-    this->leave_to_others(records, now);
-    this->leave_out_limited(records, now);
+    this->exclude_cold_upstreams(records, now);
+    this->exclude_limited_upstreams(records, now);
     this->was_only_choice = records.size() == 1;
     std::vector<SelectableUpstream> selectable;
     for (auto const* record : records) {
@@ -65,7 +65,7 @@
         return {};
     auto const& chosen = *records[*index];
     if (this->is_cold(chosen, now))
-        this->state.cold_turns.note_sent(chosen.identity, this->cold_rate(), this->state.sending_machines(), time_of_day());
+        this->state.cold_turns.note_sent(chosen.identity, this->cold_rate(), this->state.sending_machines(), unix_time());
     return chosen;
 }
 
@@ -78,26 +78,26 @@
 bool UnaryRequestHandler::is_cold(UpstreamRecord const& upstream, MonotonicTime now) const { return now<upstream.cold_until&& this->cold_rate()> 0; }
 
 // A cold upstream bears a bounded rate from all VMs together, so this one sends to it in its turn alone.
-void UnaryRequestHandler::leave_to_others(std::vector<UpstreamRecord const*>& records, MonotonicTime now)
+void UnaryRequestHandler::exclude_cold_upstreams(std::vector<UpstreamRecord const*>& records, MonotonicTime now)
 {
     this->next_cold_turn.reset();
-    auto const is_cold_one = [&](auto const* record) { return this->is_cold(*record, now); };
-    if (std::none_of(records.begin(), records.end(), is_cold_one))
+    auto const is_cold_upstream = [&](auto const* record) { return this->is_cold(*record, now); };
+    if (std::none_of(records.begin(), records.end(), is_cold_upstream))
         return;
     auto const machines = this->state.sending_machines();
     std::erase_if(records, [&](auto const* record) {
         if (!this->is_cold(*record, now))
             return false;
-        auto const wait = this->state.cold_turns.time_until_turn(record->identity, this->cold_rate(), machines, time_of_day());
+        auto const wait = this->state.cold_turns.time_until_turn(record->identity, this->cold_rate(), machines, unix_time());
         if (wait > Duration::zero())
             this->next_cold_turn = std::min(wait, this->next_cold_turn.value_or(wait));
         return wait > Duration::zero();
     });
 }
 
-void UnaryRequestHandler::leave_out_limited(std::vector<UpstreamRecord const*>& records, MonotonicTime now) const
+void UnaryRequestHandler::exclude_limited_upstreams(std::vector<UpstreamRecord const*>& records, MonotonicTime now) const
 {
-    std::erase_if(records, [&](auto const* record) { return this->without_turn.contains(record->identity); });
+    std::erase_if(records, [&](auto const* record) { return this->upstreams_without_turn.contains(record->identity); });
     auto const pause = [&](auto const* record) { return this->state.limiter->pause_left(record->identity, now); };
     auto const first_free = std::min_element(records.begin(), records.end(), [&](auto const* a, auto const* b) { return pause(a) < pause(b); });
     if (first_free == records.end())
@@ -109,14 +109,14 @@
 Duration UnaryRequestHandler::longest_wait_for_turn() const
 {
     auto const age = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
-    return std::max(Duration::zero(), from_seconds(to_seconds(this->route.latency_target) * TURN_WAIT_PART) - age);
+    return std::max(Duration::zero(), from_seconds(to_seconds(this->route.latency_target) * TURN_WAIT_SHARE) - age);
 }
 
-asio::awaitable<std::optional<UpstreamRecord>> UnaryRequestHandler::choose_with_turn()
+asio::awaitable<std::optional<UpstreamRecord>> UnaryRequestHandler::choose_upstream_with_turn()
 {
-    this->without_turn.clear();
+    this->upstreams_without_turn.clear();
     while (!this->is_stopped()) {
-        auto const upstream = this->choose();
+        auto const upstream = this->choose_upstream();
         if (!upstream)
             co_return std::nullopt;
         // While there are others it goes to one of them instead of waiting.
@@ -128,17 +128,17 @@
         // Its caller has a time to come back now; asking on would keep another one for it elsewhere.
         if (turn_patience > Duration::zero())
             co_return std::nullopt;
-        this->without_turn.insert(upstream->identity);
+        this->upstreams_without_turn.insert(upstream->identity);
     }
     co_return std::nullopt;
 }
 
-asio::awaitable<void> UnaryRequestHandler::answer_without_upstream(Attempt const& last)
+asio::awaitable<void> UnaryRequestHandler::respond_without_upstream(Attempt const& last)
 {
     // What an upstream answered is of more use than that no other could be asked.
     if (last.end == SendEnd::OwnFailure) {
         this->note_completed();
-        co_await this->relay(last);
+        co_await this->relay_response(last);
         co_return;
     }
     if (this->earlier == SendHistory::Earlier::MayHaveRun) {
@@ -160,30 +160,30 @@
     co_await this->refuse(reason, retry_after);
 }
 
-asio::awaitable<void> UnaryRequestHandler::carry()
+asio::awaitable<void> UnaryRequestHandler::forward_request()
 {
     Attempt last;
-    int connect_tries = 0;
+    int connect_attempts = 0;
     while (true) {
         if (this->is_stopped()) {
             co_await this->answer_stopped();
             co_return;
         }
-        auto upstream = co_await this->choose_with_turn();
-        if (!upstream && this->route.kind == RouteKind::Repeatable && !this->tried.empty() && connect_tries < CONNECT_TRIES) {
+        auto upstream = co_await this->choose_upstream_with_turn();
+        if (!upstream && this->route.kind == RouteKind::Repeatable && !this->tried_upstreams.empty() && connect_attempts < MAXIMUM_CONNECT_ATTEMPTS) {
             // Where there is no other, the same one may do better the next time.
-            this->tried.clear();
-            upstream = co_await this->choose_with_turn();
+            this->tried_upstreams.clear();
+            upstream = co_await this->choose_upstream_with_turn();
         }
         if (this->is_stopped()) {
             co_await this->answer_stopped();
             co_return;
         }
         if (!upstream) {
-            co_await this->answer_without_upstream(last);
+            co_await this->respond_without_upstream(last);
             co_return;
         }
-        this->tried.insert(upstream->identity);
+        this->tried_upstreams.insert(upstream->identity);
         last = co_await this->send_to(*upstream);
         if (last.end == SendEnd::NotExecuted)
             this->note_not_executed();
@@ -193,9 +193,9 @@
         }
         SendHistory history { this->route.kind, this->earlier, SendHistory::AnotherSend::Spent };
         if (last.end == SendEnd::NotSent)
-            history.another_send = ++connect_tries < CONNECT_TRIES ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
+            history.another_send = ++connect_attempts < MAXIMUM_CONNECT_ATTEMPTS ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
         else if (last.end != SendEnd::Success)
-            history.another_send = this->take_another_send(this->sends, LEAST_TIME_FOR_SEND);
+            history.another_send = this->take_another_send(this->sends, MINIMUM_TIME_FOR_SEND);
         auto const step = next_step(last.end, history);
         LogLine("send_end").with("request", this->request.identifier).with("upstream", upstream->identity).with("end", to_string(last.end)).with("reason", last.reason).with("status", last.head.status).with("next", to_string(step));
         switch (step) {
@@ -203,10 +203,10 @@
             continue;
         case NextStep::Relay:
             this->note_completed();
-            co_await this->relay(last);
+            co_await this->relay_response(last);
             co_return;
         case NextStep::RefuseNotRun:
-            co_await this->refuse(last.reason, FULL_RETRY_AFTER);
+            co_await this->refuse(last.reason, FULL_UPSTREAM_RETRY_AFTER);
             co_return;
         case NextStep::FailMayHaveRun:
             co_await this->fail(502, last.reason);
@@ -236,7 +236,7 @@
         co_return attempt;
     }
     auto const connection = acquired.release_value();
-    this->check_may_send();
+    this->recheck_admission();
     // While the connection came up the upstream may have begun to leave, or the caller may have left.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity)) {
         this->state.pool.release(*address, connection);
@@ -249,7 +249,7 @@
     dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.expected_identity = upstream.identity;
     dispatch.account = this->account;
-    this->set_active(connection);
+    this->set_active_connection(connection);
     this->note_sent();
     auto const when_unreachable = this->route.kind == RouteKind::Repeatable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, upstream, connection, when_unreachable);
@@ -262,7 +262,7 @@
         this->note_limit(upstream.identity, this->state.dialect.read_response(attempt.head), attempt.head.status, in_flight->send_time());
     }
     in_flight.reset();
-    this->set_active(nullptr);
+    this->set_active_connection(nullptr);
     auto const now = monotonic_now();
     auto const took = std::chrono::duration_cast<Duration>(now - sent_at);
     // What the caller or the clock cut off says nothing about the upstream.
@@ -270,8 +270,8 @@
     this->state.selector.note_end(upstream.identity, outcome, took, now);
     if (attempt.end == SendEnd::Lost)
         connection->abort();
-    if (attempt.broke_off)
-        static_cast<void>(co_await this->report_crash(upstream, *attempt.broke_off, sent_at));
+    if (attempt.connection_error)
+        static_cast<void>(co_await this->report_crash(upstream, *attempt.connection_error, sent_at));
     this->state.pool.release(*address, connection);
     co_return attempt;
 }
@@ -280,21 +280,21 @@
 {
     Attempt attempt;
     attempt.end = SendEnd::Lost;
-    for (int surplus = 0; surplus <= SURPLUS_ANSWERS; ++surplus) {
+    for (int mismatched = 0; mismatched <= MAXIMUM_MISMATCHED_RESPONSES; ++mismatched) {
         auto head = co_await connection->read_head();
         if (head.is_error()) {
             attempt.reason = to_string(head.error());
-            attempt.broke_off = head.error();
+            attempt.connection_error = head.error();
             co_return attempt;
         }
         attempt.head = head.release_value();
-        auto answer = co_await connection->read_body(LARGEST_ANSWER);
-        if (answer.is_error()) {
-            attempt.reason = to_string(answer.error());
-            attempt.broke_off = answer.error();
+        auto body_result = co_await connection->read_body(MAXIMUM_RESPONSE_BYTES);
+        if (body_result.is_error()) {
+            attempt.reason = to_string(body_result.error());
+            attempt.connection_error = body_result.error();
             co_return attempt;
         }
-        attempt.body = answer.release_value();
+        attempt.body = body_result.release_value();
         auto const info = this->state.dialect.read_response(attempt.head);
         if (!info.identifier.empty() && info.identifier != this->request.identifier) {
             attempt.reason = "answer_of_another_request";
@@ -317,7 +317,7 @@
     co_return attempt;
 }
 
-asio::awaitable<void> UnaryRequestHandler::relay(Attempt const& attempt)
+asio::awaitable<void> UnaryRequestHandler::relay_response(Attempt const& attempt)
 {
     auto const result = co_await this->exchange.respond(this->state.dialect.caller_response_head(attempt.head), attempt.body);
     this->log_end(result.is_error() ? "caller_left" : "answered", to_string(attempt.end), attempt.head.status);
