--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 /// Of the time to the first event: a caller that is refused within it can still be served in time elsewhere.
-constexpr double DECISION_SHARE = 0.22;
+constexpr double DECISION_TIME_SHARE = 0.22;
 /// Of the time that callers wait for an event before they leave.
-constexpr double CONTINUATION_SHARE = 0.7;
+constexpr double FIRST_EVENT_WAIT_SHARE = 0.7;
 /// Less is not worth a placement.
-constexpr Duration LEAST_TIME_FOR_PLACEMENT = milliseconds(200);
+constexpr Duration MINIMUM_TIME_FOR_PLACEMENT = milliseconds(200);
 /// Reading the longest prompts and the queue before them takes less.
-constexpr Duration PREFILL_PATIENCE = milliseconds(1200);
-constexpr int MOST_PLACEMENTS = 3;
-constexpr std::size_t LARGEST_PREFILL_ANSWER = 64UL * 1024;
+constexpr Duration PREFILL_TIMEOUT = milliseconds(1200);
+constexpr int MAXIMUM_PLACEMENTS = 3;
+constexpr std::size_t MAXIMUM_SHORT_RESPONSE_BYTES = 64UL * 1024;
 constexpr Duration FREE_CACHE_TIMEOUT = milliseconds(500);
 constexpr Duration LOST_ENGINE_RETRY_AFTER = milliseconds(400);
 
@@ -52,8 +52,8 @@
 
 void StreamingRequestHandler::on_stop()
 {
-    if (this->wait)
-        this->wait->give_up();
+    if (this->pending_ask)
+        this->pending_ask->give_up();
 }
 
 void StreamingRequestHandler::describe_end(LogLine& line) const
@@ -63,7 +63,7 @@
         line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.pause_target));
 }
 
-asio::awaitable<std::optional<PlacementDecision>> StreamingRequestHandler::place()
+asio::awaitable<std::optional<PlacementDecision>> StreamingRequestHandler::request_placement()
 {
     auto const& prompt = *this->request.prompt;
     PlacementAsk ask;
@@ -76,13 +76,13 @@
     ask.relayed_tokens = this->relayed_tokens();
     ask.priority = this->placement_priority();
     ask.excluded_engines = this->failed_engines;
-    this->add_unreachable(ask);
+    this->exclude_unreachable(ask);
     ask.data_centre = this->state.data_centre;
     ask.longest_pause = this->route.pause_target;
     ask.own_part = prompt.own_part;
-    this->wait = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
-    auto decision = co_await this->state.placement->ask(std::move(ask), this->wait, this->time_to_place());
-    this->wait.reset();
+    this->pending_ask = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
+    auto decision = co_await this->state.placement->ask(std::move(ask), this->pending_ask, this->placement_times());
+    this->pending_ask.reset();
     if (decision)
         this->note_visit(*decision);
     co_return decision;
@@ -94,8 +94,8 @@
     constexpr std::int64_t LARGEST = 1000;
     auto const* book = this->routes->configuration().accounts.get();
     auto const* found = book ? book->find_by_name(this->account) : nullptr;
-    auto const of_account = found ? std::clamp<std::int64_t>(found->priority, 0, LARGEST) : 0;
-    return -of_account * LARGEST - std::clamp<std::int64_t>(this->route.priority, 0, LARGEST - 1);
+    auto const account_priority = found ? std::clamp<std::int64_t>(found->priority, 0, LARGEST) : 0;
+    return -account_priority * LARGEST - std::clamp<std::int64_t>(this->route.priority, 0, LARGEST - 1);
 }
 
 void StreamingRequestHandler::note_visit(PlacementDecision const& decision)
@@ -105,43 +105,43 @@
         this->visit = std::visit([](auto const& either) { return either.visit; }, decision);
 }
 
-PlacementClient::AskTimes StreamingRequestHandler::time_to_place() const
+PlacementClient::AskTimes StreamingRequestHandler::placement_times() const
 {
     auto const age = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
-    auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * CONTINUATION_SHARE);
-    PlacementClient::AskTimes within;
+    auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * FIRST_EVENT_WAIT_SHARE);
+    PlacementClient::AskTimes times;
     if (this->placements > 0) {
         // It was placed before: refused now it is lost, and an answer that is late, or goes on after a pause, is not.
         auto const spent = this->exchange.has_begun() ? std::chrono::duration_cast<Duration>(monotonic_now() - this->last_event_at) : age;
-        within.first_token_within = patience - spent;
-        within.decide_within = within.first_token_within;
+        times.first_token_within = patience - spent;
+        times.decide_within = times.first_token_within;
     } else {
-        within.first_token_within = this->route.latency_target - age;
-        within.decide_within = from_seconds(to_seconds(this->route.latency_target) * DECISION_SHARE) - age;
-        within.late_within = patience - age;
+        times.first_token_within = this->route.latency_target - age;
+        times.decide_within = from_seconds(to_seconds(this->route.latency_target) * DECISION_TIME_SHARE) - age;
+        times.late_within = patience - age;
     }
-    within.decide_within = std::max(within.decide_within, milliseconds(20));
-    return within;
+    times.decide_within = std::max(times.decide_within, milliseconds(20));
+    return times;
 }
 
 // The keeper may reach engines that this VM does not, and does not know where the request has to stay. A data centre that is
 // out of reach is named as a whole: it may have thousands of engines.
-void StreamingRequestHandler::add_unreachable(PlacementAsk& ask) const
+void StreamingRequestHandler::exclude_unreachable(PlacementAsk& ask) const
 {
     auto const now = monotonic_now();
-    std::map<std::string_view, bool> is_out;
+    std::map<std::string_view, bool> is_excluded;
     this->state.upstreams.for_each([&](UpstreamRecord const& record) {
         if (record.service != this->service)
             return;
-        auto const [known, is_new] = is_out.try_emplace(record.data_centre, false);
+        auto const [known, is_new] = is_excluded.try_emplace(record.data_centre, false);
         if (is_new)
             known->second = !this->may_use_data_centre(record.data_centre) || this->state.reachability->is_cut_off(record.data_centre, now);
         bool const is_paused = this->state.limiter->pause_left(record.identity, now) > Duration::zero();
         if (!known->second && (is_paused || !this->state.reachability->is_reachable(record.identity, record.data_centre, now)))
             ask.excluded_engines.push_back(record.identity);
     });
-    for (auto const& [data_centre, out] : is_out) {
-        if (out)
+    for (auto const& [data_centre, excluded] : is_excluded) {
+        if (excluded)
             ask.excluded_data_centres.emplace_back(data_centre);
     }
 }
@@ -149,18 +149,18 @@
 asio::awaitable<void> StreamingRequestHandler::forward_request()
 {
     while (true) {
-        auto const decision = co_await this->place();
+        auto const decision = co_await this->request_placement();
         if (this->is_stopped() || !decision) {
             this->release();
             co_await this->answer_stopped();
             co_return;
         }
         if (auto const* refusal = std::get_if<PlacementRefusal>(&*decision)) {
-            co_await this->answer_refusal(*refusal);
+            co_await this->respond_to_refusal(*refusal);
             co_return;
         }
         auto const& grant = std::get<PlacementGrant>(*decision);
-        bool const has_turns = co_await this->take_turns(grant);
+        bool const has_turns = co_await this->take_engine_turns(grant);
         if (!has_turns) {
             this->release();
             if (!this->is_stopped())
@@ -169,12 +169,12 @@
             co_return;
         }
         ++this->placements;
-        auto const progress = co_await this->run_placement(grant);
+        auto const outcome = co_await this->run_placement(grant);
         this->release();
         if (!this->failed_engine.empty())
             this->failed_engines.push_back(std::exchange(this->failed_engine, {}));
         this->refusing_engines.clear();
-        if (progress == Progress::Over)
+        if (outcome == PlacementOutcome::Finished)
             co_return;
         if (this->is_stopped()) {
             co_await this->answer_stopped();
@@ -183,7 +183,7 @@
     }
 }
 
-asio::awaitable<bool> StreamingRequestHandler::take_turns(PlacementGrant grant)
+asio::awaitable<bool> StreamingRequestHandler::take_engine_turns(PlacementGrant grant)
 {
     std::vector<std::string> engines { grant.decode_engine };
     if (!grant.prefill_engine.empty())
@@ -200,13 +200,13 @@
     co_return true;
 }
 
-asio::awaitable<void> StreamingRequestHandler::answer_refusal(PlacementRefusal refusal)
+asio::awaitable<void> StreamingRequestHandler::respond_to_refusal(PlacementRefusal refusal)
 {
-    bool const is_nowhere = refusal.reason == RefusalReason::NoUpstream;
+    bool const has_no_upstream = refusal.reason == RefusalReason::NoUpstream;
     std::string reason(to_string(refusal.reason));
-    if (is_nowhere && this->residency.is_bound())
+    if (has_no_upstream && this->residency.is_bound())
         reason = "no_upstream_in_home_regions";
-    if (is_nowhere && this->next_turn)
+    if (has_no_upstream && this->next_turn)
         reason = "upstreams_limited";
     if (this->earlier == SendHistory::Earlier::MayHaveRun)
         co_await this->fail(502, reason);
@@ -225,14 +225,14 @@
     this->state.placement->release(this->request.identifier, this->relayed_tokens(), { this->failed_engine, this->refusing_engines });
 }
 
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::run_placement(PlacementGrant grant)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::run_placement(PlacementGrant grant)
 {
     auto const* prefill_engine = this->state.upstreams.find(grant.prefill_engine);
     auto const* decode_engine = this->state.upstreams.find(grant.decode_engine);
     if (!decode_engine || (!grant.prefill_engine.empty() && !prefill_engine)) {
         // The keeper knows an engine that this VM has not heard of, or not any more.
         this->failed_engines.push_back(decode_engine ? grant.prefill_engine : grant.decode_engine);
-        co_return co_await this->give_up(SendEnd::NotSent, "unknown_engine");
+        co_return co_await this->retry_or_fail(SendEnd::NotSent, "unknown_engine");
     }
     this->last_engine = grant.decode_engine;
     Dispatch dispatch;
@@ -240,30 +240,30 @@
     UpstreamRecord const decoder = *decode_engine;
     auto const decode_address = parse_address(decoder.address);
     if (!decode_address)
-        co_return co_await this->give_up(SendEnd::NotSent, "bad_address");
+        co_return co_await this->retry_or_fail(SendEnd::NotSent, "bad_address");
     // A prompt that is read before the decode engine turns out to be away is read for nothing.
     auto reserved = co_await this->state.pool.acquire(*decode_address, this->freshness());
     if (!reserved.is_error())
         this->state.pool.put_back_unused(*decode_address, reserved.value());
     if (this->is_stopped())
-        co_return Progress::TryAgain;
+        co_return PlacementOutcome::Retry;
     if (reserved.is_error()) {
         this->state.prober.note_unreachable(decoder, reserved.error());
         this->failed_engine = decoder.identity;
-        co_return co_await this->give_up(SendEnd::NotSent, to_string(reserved.error()));
+        co_return co_await this->retry_or_fail(SendEnd::NotSent, to_string(reserved.error()));
     }
     if (prefill_engine) {
         if (!this->try_pay(SendLedger::Send::Prefill))
-            co_return co_await this->give_up(SendEnd::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
+            co_return co_await this->retry_or_fail(SendEnd::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
         UpstreamRecord const prefiller = *prefill_engine;
         auto cache = co_await this->prefill(prefiller);
         if (this->is_stopped()) {
             if (cache)
                 this->free_cache(prefiller.address, cache->handle);
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         }
         if (!cache)
-            co_return co_await this->give_up(SendEnd::NotSent, "prefill_failed");
+            co_return co_await this->retry_or_fail(SendEnd::NotSent, "prefill_failed");
         this->state.placement->progress(this->request.identifier, GrantProgress::CacheHeld);
         dispatch.stage = DispatchStage::Decode;
         dispatch.cache_address = prefiller.address;
@@ -308,7 +308,7 @@
     dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
     this->set_active_connection(connection);
-    connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
+    connection->set_deadline(monotonic_now() + PREFILL_TIMEOUT);
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "prefill" } });
     std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, InFlightRequest::WhenUnreachable::Abort);
     connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body);
@@ -317,19 +317,19 @@
     std::optional<PrefillCache> cache;
     bool is_engine_healthy = false;
     if (!head.is_error()) {
-        auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
+        auto response_body = co_await connection->read_body(MAXIMUM_SHORT_RESPONSE_BYTES);
         auto const info = this->state.dialect.read_response(head.value());
         this->note_limit(engine.identity, info, head.value().status, in_flight->send_time());
         bool const is_matching_response = info.identifier.empty() || info.identifier == this->request.identifier;
-        if (answer.is_error() || !is_matching_response) {
+        if (response_body.is_error() || !is_matching_response) {
             connection->abort();
-            reason = answer.is_error() ? std::string(to_string(answer.error())) : "answer_of_another_request";
+            reason = response_body.is_error() ? std::string(to_string(response_body.error())) : "answer_of_another_request";
         } else if (head.value().status == 200) {
-            auto held = this->state.dialect.read_prefill_cache(answer.value());
-            if (held.is_error())
+            auto parsed_cache = this->state.dialect.read_prefill_cache(response_body.value());
+            if (parsed_cache.is_error())
                 reason = "malformed";
             else
-                cache = held.release_value();
+                cache = parsed_cache.release_value();
         }
         // An engine that is full or has begun to leave works as it should.
         is_engine_healthy = info.is_not_executed;
@@ -359,7 +359,7 @@
     co_return cache;
 }
 
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
 {
     auto acquired = co_await this->state.pool.acquire(address, this->freshness());
     this->recheck_admission();
@@ -369,12 +369,12 @@
         if (acquired.is_error()) {
             this->state.prober.note_unreachable(engine, acquired.error());
             this->failed_engine = engine.identity;
-            co_return co_await this->give_up(SendEnd::NotSent, to_string(acquired.error()));
+            co_return co_await this->retry_or_fail(SendEnd::NotSent, to_string(acquired.error()));
         }
         this->state.pool.release(address, acquired.value());
         if (this->is_stopped())
-            co_return Progress::TryAgain;
-        co_return co_await this->give_up(SendEnd::NotSent, "upstream_left");
+            co_return PlacementOutcome::Retry;
+        co_return co_await this->retry_or_fail(SendEnd::NotSent, "upstream_left");
     }
     auto const connection = acquired.release_value();
     dispatch.account = this->account;
@@ -392,12 +392,12 @@
         this->set_active_connection(nullptr);
         connection->abort();
         if (this->is_stopped())
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         static_cast<void>(co_await this->report_crash(engine, head.error(), sent_at));
         if (this->is_stopped())
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         this->failed_engine = engine.identity;
-        co_return co_await this->give_up(SendEnd::Lost, to_string(head.error()));
+        co_return co_await this->retry_or_fail(SendEnd::Lost, to_string(head.error()));
     }
     in_flight->note_received();
     auto const info = this->state.dialect.read_response(head.value());
@@ -405,16 +405,16 @@
     this->note_limit(engine.identity, info, status, in_flight->send_time());
     if (info.identifier == this->request.identifier && status / 100 == 2 && info.is_signed && !info.is_encoded) {
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
-        auto const progress = co_await this->relay(*in_flight, connection, head.release_value());
+        auto const outcome = co_await this->relay_stream(*in_flight, connection, head.release_value());
         in_flight.reset();
         this->set_active_connection(nullptr);
         this->state.pool.release(address, connection);
-        co_return progress;
+        co_return outcome;
     }
-    auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
+    auto response_body = co_await connection->read_body(MAXIMUM_SHORT_RESPONSE_BYTES);
     in_flight.reset();
     this->set_active_connection(nullptr);
-    if (answer.is_error())
+    if (response_body.is_error())
         connection->abort();
     this->state.pool.release(address, connection);
     auto const reason = "decode_status_" + std::to_string(status);
@@ -423,24 +423,24 @@
         if (!dispatch.cache_handle.empty())
             this->free_cache(dispatch.cache_address, dispatch.cache_handle);
         if (this->is_stopped())
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         this->failed_engines.push_back(engine.identity);
         this->refusing_engines = { engine.identity };
         if (!dispatch.cache_holder.empty())
             this->refusing_engines.push_back(dispatch.cache_holder);
-        co_return co_await this->give_up(SendEnd::NotExecuted, reason);
+        co_return co_await this->retry_or_fail(SendEnd::NotExecuted, reason);
     }
     if (this->is_stopped())
-        co_return Progress::TryAgain;
-    bool const is_own_failure = info.is_signed && info.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !answer.is_error();
+        co_return PlacementOutcome::Retry;
+    bool const is_own_failure = info.is_signed && info.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !response_body.is_error();
     if (is_own_failure && !this->exchange.has_begun()) {
         this->note_completed();
-        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_response_head(head.value()), answer.value());
+        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_response_head(head.value()), response_body.value());
         this->log_end(sent.is_error() ? "caller_left" : "answered", reason, status);
-        co_return Progress::Over;
+        co_return PlacementOutcome::Finished;
     }
     this->failed_engine = engine.identity;
-    co_return co_await this->give_up(SendEnd::Lost, reason);
+    co_return co_await this->retry_or_fail(SendEnd::Lost, reason);
 }
 
 void StreamingRequestHandler::note_event(MonotonicTime now)
@@ -455,7 +455,7 @@
     this->last_event_at = now;
 }
 
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::relay(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::relay_stream(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
 {
     while (true) {
         auto piece = co_await connection->read_piece();
@@ -463,17 +463,17 @@
             connection->abort();
             this->events.drop_broken_event();
             if (this->is_stopped())
-                co_return Progress::TryAgain;
+                co_return PlacementOutcome::Retry;
             bool const has_crashed = co_await this->report_crash(in_flight.upstream(), piece.error(), in_flight.send_time());
             if (this->is_stopped())
-                co_return Progress::TryAgain;
+                co_return PlacementOutcome::Retry;
             // One answer that broke off says little of the engine, but this request goes on elsewhere. Of one that is gone
             // the keeper hears at once, which else would give it out until its entry lapses.
             if (has_crashed)
                 this->failed_engine = in_flight.identity();
             else
                 this->failed_engines.push_back(in_flight.identity());
-            co_return co_await this->give_up(SendEnd::Lost, to_string(piece.error()));
+            co_return co_await this->retry_or_fail(SendEnd::Lost, to_string(piece.error()));
         }
         this->note_event(monotonic_now());
         in_flight.note_received();
@@ -486,13 +486,13 @@
             auto const framing = connection->framing() == BodyFraming::UntilClose ? BodyFraming::UntilClose : BodyFraming::Chunked;
             auto const begun = co_await this->exchange.begin(this->state.dialect.caller_response_head(head), framing);
             if (begun.is_error())
-                co_return Progress::TryAgain;
+                co_return PlacementOutcome::Retry;
         }
         auto const written = co_await this->exchange.write(bytes);
         if (written.is_error()) {
             connection->abort();
             this->log_end("caller_left", "write_failed", 0);
-            co_return Progress::Over;
+            co_return PlacementOutcome::Finished;
         }
         if (!is_end)
             continue;
@@ -501,29 +501,29 @@
         auto const finished = co_await this->exchange.finish();
         this->log_end(finished.is_error() ? "caller_left" : "answered", "stream", head.status);
         this->state.metrics.observe_seconds("spurtide_longest_pause_seconds", "Longest pause between events of a stream that ended whole", to_seconds(this->longest_pause));
-        co_return Progress::Over;
+        co_return PlacementOutcome::Finished;
     }
 }
 
 // What follows a send that brought no answer.
-asio::awaitable<StreamingRequestHandler::Progress> StreamingRequestHandler::give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::retry_or_fail(SendEnd end, std::string_view reason, SendHistory::AnotherSend allowed_send)
 {
     // A stream that may go on behind its last event may be sent again, like a call that may be repeated.
     auto const kind = this->route.is_resumable ? RouteKind::Repeatable : RouteKind::NotRepeatable;
     SendHistory history { kind, this->earlier, SendHistory::AnotherSend::Spent };
-    bool const may_go_on = wanted == SendHistory::AnotherSend::Allowed && this->placements < MOST_PLACEMENTS;
+    bool const may_go_on = allowed_send == SendHistory::AnotherSend::Allowed && this->placements < MAXIMUM_PLACEMENTS;
     // What was not sent is no attempt, but a prefill that was refused has arrived.
     if (may_go_on)
-        history.another_send = this->take_another_send(end == SendEnd::NotSent ? 0 : this->sends, LEAST_TIME_FOR_PLACEMENT);
+        history.another_send = this->take_another_send(end == SendEnd::NotSent ? 0 : this->sends, MINIMUM_TIME_FOR_PLACEMENT);
     auto const step = next_step(end, history);
     LogLine("send_end").with("request", this->request.identifier).with("upstream", this->last_engine).with("end", to_string(end)).with("reason", reason).with("next", to_string(step));
     if (step == NextStep::SendElsewhere)
-        co_return Progress::TryAgain;
+        co_return PlacementOutcome::Retry;
     if (step == NextStep::RefuseNotRun && !this->exchange.has_begun())
         co_await this->refuse(reason, LOST_ENGINE_RETRY_AFTER);
     else
         co_await this->fail(502, reason);
-    co_return Progress::Over;
+    co_return PlacementOutcome::Finished;
 }
 
 void StreamingRequestHandler::free_cache(std::string const& engine_address, std::string const& handle)
@@ -535,7 +535,7 @@
         HttpRequest request { state.dialect.free_cache_request_head(address_text, cache), {} };
         ConnectionPool::Call options;
         options.timeout = FREE_CACHE_TIMEOUT;
-        options.largest_body = LARGEST_PREFILL_ANSWER;
+        options.largest_body = MAXIMUM_SHORT_RESPONSE_BYTES;
         // NOTE: Where this fails the engine frees the cache itself when its hold time is over.
         static_cast<void>(co_await state.pool.call(*address, std::move(request), std::move(options)));
     };
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -38,37 +38,37 @@
     void on_stop() override;
     void describe_end(LogLine& line) const override;
 
-    enum class Progress {
+    enum class PlacementOutcome {
         /// The answer is over, whole or not.
-        Over,
+        Finished,
         /// Another placement may be tried.
-        TryAgain,
+        Retry,
     };
 
-    PlacementClient::AskTimes time_to_place() const;
+    PlacementClient::AskTimes placement_times() const;
     std::int64_t placement_priority() const;
     void note_visit(PlacementDecision const& decision);
-    asio::awaitable<std::optional<PlacementDecision>> place();
+    asio::awaitable<std::optional<PlacementDecision>> request_placement();
     /// One placement from its grant to its end.
-    asio::awaitable<Progress> run_placement(PlacementGrant grant);
+    asio::awaitable<PlacementOutcome> run_placement(PlacementGrant grant);
     asio::awaitable<std::optional<PrefillCache>> prefill(UpstreamRecord engine);
-    asio::awaitable<Progress> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
+    asio::awaitable<PlacementOutcome> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
     void note_event(MonotonicTime now);
-    asio::awaitable<Progress> relay(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
-    void add_unreachable(PlacementAsk& ask) const;
+    asio::awaitable<PlacementOutcome> relay_stream(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
+    void exclude_unreachable(PlacementAsk& ask) const;
     /// Takes a turn at each engine of the grant that named a limit. False where one has none for now: the request is not placed
     /// there again.
-    asio::awaitable<bool> take_turns(PlacementGrant grant);
-    asio::awaitable<void> answer_refusal(PlacementRefusal refusal);
+    asio::awaitable<bool> take_engine_turns(PlacementGrant grant);
+    asio::awaitable<void> respond_to_refusal(PlacementRefusal refusal);
     /// Goes on elsewhere where that is wanted and allowed, else answers.
-    asio::awaitable<Progress> give_up(SendEnd end, std::string_view reason, SendHistory::AnotherSend wanted = SendHistory::AnotherSend::Allowed);
+    asio::awaitable<PlacementOutcome> retry_or_fail(SendEnd end, std::string_view reason, SendHistory::AnotherSend allowed_send = SendHistory::AnotherSend::Allowed);
     void free_cache(std::string const& address, std::string const& handle);
     ConnectionPool::Freshness freshness() const;
     void release();
     /// Tokens of the answer that came so far.
     std::int64_t relayed_tokens() const;
 
-    std::shared_ptr<PlacementClient::Ask> wait;
+    std::shared_ptr<PlacementClient::Ask> pending_ask;
     /// Where the present placement's answer is made.
     std::string last_engine;
     std::vector<std::string> failed_engines;
