--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -25,7 +25,7 @@
 
 }
 
-std::string EventBoundary::take(std::string_view bytes)
+std::string EventStreamSplitter::append(std::string_view bytes)
 {
     this->pending += bytes;
     auto const end = this->pending.rfind("\n\n");
@@ -461,7 +461,7 @@
         auto piece = co_await connection->read_piece();
         if (piece.is_error()) {
             connection->abort();
-            this->events.drop_broken_event();
+            this->events.discard_partial_event();
             if (this->is_stopped())
                 co_return PlacementOutcome::Retry;
             bool const has_crashed = co_await this->report_crash(in_flight.upstream(), piece.error(), in_flight.send_time());
@@ -478,10 +478,10 @@
         this->note_event(monotonic_now());
         in_flight.note_received();
         bool const is_end = piece.value().empty();
-        auto bytes = this->events.take(piece.value());
+        auto bytes = this->events.append(piece.value());
         // A stream that cannot go on elsewhere need not wait for the end of an event.
         if (!this->route.is_resumable || is_end)
-            bytes += this->events.rest();
+            bytes += this->events.take_remainder();
         if (!this->exchange.has_begun()) {
             auto const framing = connection->framing() == BodyFraming::UntilClose ? BodyFraming::UntilClose : BodyFraming::Chunked;
             auto const begun = co_await this->exchange.begin(this->state.dialect.caller_response_head(head), framing);
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -10,14 +10,14 @@
 namespace Spurtide {
 
 /// Cuts a stream's bytes at the ends of its events, counts them and remembers the last one's id.
-class EventBoundary {
+class EventStreamSplitter {
 public:
     /// Takes bytes; gives those that end with a whole event.
-    std::string take(std::string_view bytes);
+    std::string append(std::string_view bytes);
     /// What follows the last whole event.
-    std::string rest() { return std::exchange(this->pending, {}); }
+    std::string take_remainder() { return std::exchange(this->pending, {}); }
     /// Forgets the beginning of an event whose stream broke off; the next stream sends the event anew.
-    void drop_broken_event() { this->pending.clear(); }
+    void discard_partial_event() { this->pending.clear(); }
     std::int64_t event_count() const { return this->events; }
     std::string const& last_identifier() const { return this->last_id; }
 
@@ -74,7 +74,7 @@
     std::vector<std::string> failed_engines;
     std::string failed_engine;
     std::vector<std::string> refusing_engines;
-    EventBoundary events;
+    EventStreamSplitter events;
     CallerVisit visit = CallerVisit::First;
     std::optional<Duration> first_event_after;
     MonotonicTime first_event_at;
--- /dev/null
+++ b/Tests/LibRouter/TestEventStreamSplitter.cpp
@@ -0,0 +1,41 @@
+// SPDX-FileCopyrightText: 2026 The Spurtide developers
+// SPDX-License-Identifier: BSD-2-Clause
+
+#include <LibRouter/StreamingRequestHandler.h>
+#include <catch2/catch.hpp>
+
+using namespace Spurtide;
+
+TEST_CASE("Streams are cut at the ends of events whatever the pieces", "[whole]")
+{
+    std::string const stream = "id: 1\ndata: a\n\nid:2\ndata: b\n\nid: 3\ndata: c\n\n";
+    auto const piece = GENERATE(std::size_t { 1 }, std::size_t { 3 }, std::size_t { 100 });
+    EventStreamSplitter splitter;
+    std::string relayed;
+    for (std::size_t at = 0; at < stream.size(); at += piece) {
+        auto const whole_events = splitter.append(std::string_view(stream).substr(at, piece));
+        REQUIRE((whole_events.empty() || whole_events.ends_with("\n\n")));
+        relayed += whole_events;
+    }
+    REQUIRE(relayed == stream);
+    REQUIRE(splitter.event_count() == 3);
+    REQUIRE(splitter.last_identifier() == "3");
+    REQUIRE(splitter.take_remainder().empty());
+}
+
+TEST_CASE("The torn beginning of an event is not put before the stream that goes on", "[whole][kill]")
+{
+    EventStreamSplitter splitter;
+    REQUIRE(splitter.append("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
+    splitter.discard_partial_event();
+    REQUIRE(splitter.append("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
+    REQUIRE(splitter.last_identifier() == "2");
+    REQUIRE(splitter.event_count() == 2);
+}
+
+TEST_CASE("Data that looks like an id is not one")
+{
+    EventStreamSplitter splitter;
+    REQUIRE_FALSE(splitter.append("id: 7\ndata: paid: 9\n\n").empty());
+    REQUIRE(splitter.last_identifier() == "7");
+}
