--- a/Libraries/LibRouter/PlacementClient.h
+++ b/Libraries/LibRouter/PlacementClient.h
@@ -22,22 +22,22 @@
 public:
     struct Options {
         /// Beyond the time that the keeper may take to decide.
-        Duration answer_slack = milliseconds(120);
+        Duration reply_slack = milliseconds(120);
         /// Silence after which the keeper's process is asked whether it is there.
         Duration silence = milliseconds(120);
         /// A keeper that did not answer is not asked again for so long.
-        Duration suspicion = milliseconds(1500);
+        Duration suspicion_time = milliseconds(1500);
         /// How often held grants are named to the keeper. Two that did not come free what a dead VM held: the shorter, the
         /// sooner its engines' memory is promised again; the messages of some 350 open streams are 100 KB a second.
-        Duration renewal = milliseconds(700);
+        Duration renewal_interval = milliseconds(700);
         /// How often the keeper is looked up while nothing is asked.
-        Duration keeper_check = milliseconds(100);
+        Duration keeper_check_interval = milliseconds(100);
     };
 
     /// A wait that its request may give up.
-    class Ask {
+    class PendingAsk {
     public:
-        explicit Ask(asio::any_io_executor const& executor)
+        explicit PendingAsk(asio::any_io_executor const& executor)
             : signal(executor)
         {
         }
@@ -65,9 +65,9 @@
     /// What went wrong with the engines of a grant.
     struct EngineFaults {
         /// It did not answer, or not as it should; empty where none failed.
-        std::string failed;
+        std::string failed_engine;
         /// One of them is at fault for a place that was promised and refused.
-        std::vector<std::string> refusing;
+        std::vector<std::string> refusing_engines;
     };
 
     PlacementClient(Options options, Kernel& kernel);
@@ -77,17 +77,17 @@
     void start();
 
     /// Empty when the ask was given up. Whatever was granted then is released.
-    asio::awaitable<std::optional<PlacementDecision>> ask(PlacementAsk ask, std::shared_ptr<Ask> wait, AskTimes const& times);
+    asio::awaitable<std::optional<PlacementDecision>> ask(PlacementAsk ask, std::shared_ptr<PendingAsk> pending, AskTimes const& times);
     void progress(std::string const& request, GrantProgress progress);
     /// The request needs its grant no more.
     void release(std::string const& request, std::int64_t output_tokens, EngineFaults const& faults);
 
     /// Whether this VM keeps the engines, as far as it knows.
-    bool is_keeper() const { return this->present_keeper() == this->kernel.endpoint(); }
-    std::size_t held_count() const { return this->held.size(); }
+    bool is_keeper() const { return this->current_keeper() == this->kernel.endpoint(); }
+    std::size_t held_count() const { return this->held_grants.size(); }
 
 private:
-    struct Held {
+    struct HeldGrant {
         PlacementAsk ask;
         PlacementGrant grant;
         /// Who granted it; another may keep the engines by the time of its end.
@@ -96,16 +96,16 @@
         MonotonicTime since;
     };
 
-    std::string present_keeper() const;
+    std::string current_keeper() const;
     void send(wire::Envelope envelope);
-    void follow_keeper();
-    void renew();
-    wire::Envelope ask_message(PlacementAsk const& ask, AskTimes const& times, Duration spent) const;
+    void check_for_keeper_change();
+    void renew_grants();
+    wire::Envelope ask_message(PlacementAsk const& ask, AskTimes const& times, Duration elapsed) const;
 
     Options options;
     Kernel& kernel;
     KeeperRanking keepers;
-    std::map<std::string, Held> held;
+    std::map<std::string, HeldGrant> held_grants;
     std::string last_keeper;
 };
 
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -80,7 +80,7 @@
     ask.data_centre = this->state.data_centre;
     ask.longest_pause = this->route.pause_target;
     ask.own_part = prompt.own_part;
-    this->pending_ask = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
+    this->pending_ask = std::make_shared<PlacementClient::PendingAsk>(this->state.loop.get_executor());
     auto decision = co_await this->state.placement->ask(std::move(ask), this->pending_ask, this->placement_times());
     this->pending_ask.reset();
     if (decision)
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -68,7 +68,7 @@
     /// Tokens of the answer that came so far.
     std::int64_t relayed_tokens() const;
 
-    std::shared_ptr<PlacementClient::Ask> pending_ask;
+    std::shared_ptr<PlacementClient::PendingAsk> pending_ask;
     /// Where the present placement's answer is made.
     std::string last_engine;
     std::vector<std::string> failed_engines;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -52,7 +52,7 @@
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
     options.policy.backfill = SchedulerPolicy::Backfill::On;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    options.vanish_after = PlacementClient::Options {}.renewal * RENEWALS_MISSED + RENEWAL_MARGIN;
+    options.vanish_after = PlacementClient::Options {}.renewal_interval * RENEWALS_MISSED + RENEWAL_MARGIN;
     options.cache_hold = milliseconds(500);
     // In the order of what engines of today take; measured from the first answers on.
     options.first_step_time = milliseconds(1);
--- a/Tests/LibRouter/TestPlacementClient.cpp
+++ b/Tests/LibRouter/TestPlacementClient.cpp
@@ -55,7 +55,7 @@
                 this->own = machine.get();
         }
         PlacementClient::Options options;
-        options.suspicion = milliseconds(50);
+        options.suspicion_time = milliseconds(50);
         options.silence = milliseconds(20);
         this->client = std::make_unique<PlacementClient>(options, *this->own->kernel);
     }
@@ -85,7 +85,7 @@
     {
         PlacementAsk ask;
         ask.request = std::move(request);
-        auto const wait = std::make_shared<PlacementClient::Ask>(this->loop.get_executor());
+        auto const wait = std::make_shared<PlacementClient::PendingAsk>(this->loop.get_executor());
         auto const decision = co_await this->client->ask(ask, wait, { milliseconds(60), milliseconds(900), {} });
         granted = decision && std::holds_alternative<PlacementGrant>(*decision);
     }
