--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -60,7 +60,7 @@
     , account(account ? account->name : std::string())
     , body(std::make_shared<std::string const>(exchange.request().body))
     , residency(route.home_regions, account ? account->home_regions : std::vector<std::string>())
-    , ledger(state.budget_of(this->service))
+    , ledger(state.retry_budget_for(this->service))
     , deadline(exchange.received_at() + std::min(route.timeout, this->request.caller_timeout))
     , counted_account(this->account)
     , quota_cost(account ? account->cost_of(total_tokens(this->request)) : 0)
@@ -82,7 +82,7 @@
         if (!error && handler)
             handler->stop(StopReason::OutOfTime);
     });
-    this->state.budget_of(this->service).note_request(monotonic_now());
+    this->state.retry_budget_for(this->service).note_request(monotonic_now());
     bool const is_admitted = co_await this->admit();
     if (is_admitted) {
         if (this->is_stopped())
@@ -261,7 +261,7 @@
         return true;
     auto const part = this->state.retry_allowance_part();
     bool const is_taken = this->ledger.try_pay(send, part, monotonic_now());
-    auto const level = this->state.budget_of(this->service).level(part, monotonic_now());
+    auto const level = this->state.retry_budget_for(this->service).level(part, monotonic_now());
     std::string const outcome = is_taken ? "taken" : "spent";
     LogLine("extra_send")
         .with("request", this->request.identifier)
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -45,7 +45,7 @@
     UpstreamSelector selector { UpstreamSelector::Options {} };
     ConnectionPool pool { ConnectionPool::Options {} };
     ReachabilityProber prober { ReachabilityProber::Options {}, loop, reachability, pool, upstreams };
-    std::map<std::string, SharedRetryBudget> budgets {};
+    std::map<std::string, SharedRetryBudget> retry_budgets {};
     /// This VM's part of what cold upstreams bear.
     ColdTurns cold_turns { ColdTurns::Options {} };
     /// Those that are alive, or on the other side of a cut.
@@ -64,7 +64,7 @@
     /// Empty while this process goes on.
     std::function<std::optional<StopTime>()> stop_time = [] { return std::optional<StopTime> {}; };
 
-    SharedRetryBudget& budget_of(std::string const& service) { return this->budgets.try_emplace(service, this->retry_options).first->second; }
+    SharedRetryBudget& retry_budget_for(std::string const& service) { return this->retry_budgets.try_emplace(service, this->retry_options).first->second; }
 };
 
 }
