--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -86,7 +86,7 @@
     bool const is_admitted = co_await this->admit();
     if (is_admitted) {
         if (this->is_stopped())
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
         else
             co_await this->forward_request();
         // What has not run costs the account nothing.
@@ -102,7 +102,7 @@
     // What crashes whatever runs it costs its account nothing.
     if (this->state.quarantine->held_for(this->fingerprint)) {
         this->stop(StopReason::Quarantined);
-        co_await this->answer_stopped();
+        co_await this->send_stopped_response();
         co_return false;
     }
     if (this->quota_cost <= 0)
@@ -158,7 +158,7 @@
 
 void RequestHandler::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
 
-void RequestHandler::note_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at)
+void RequestHandler::record_rate_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at)
 {
     // An answer to another request tells nothing, and behind 421 is another upstream.
     if (info.identifier != this->request.identifier || status == 421)
@@ -247,9 +247,9 @@
     return std::chrono::duration_cast<Duration>(this->deadline - monotonic_now());
 }
 
-SendHistory::AnotherSend RequestHandler::take_another_send(std::int64_t sends_so_far, Duration least_time)
+SendHistory::AnotherSend RequestHandler::take_another_send(std::int64_t sends_so_far, Duration minimum_time)
 {
-    if (sends_so_far >= this->route.maximum_attempts || this->time_left() < least_time || this->is_stopped())
+    if (sends_so_far >= this->route.maximum_attempts || this->time_left() < minimum_time || this->is_stopped())
         return SendHistory::AnotherSend::Spent;
     return this->try_pay(SendLedger::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
 }
@@ -297,7 +297,7 @@
     static_cast<void>(co_await this->exchange.respond(this->state.dialect.router_response_head(status, this->request.identifier), {}));
 }
 
-asio::awaitable<void> RequestHandler::answer_stopped()
+asio::awaitable<void> RequestHandler::send_stopped_response()
 {
     if (this->stop_reason == StopReason::CallerLeft) {
         this->log_end("caller_left", "caller_left", 0);
--- a/Libraries/LibRouter/RequestHandler.h
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -59,13 +59,13 @@
     /// Answers that the request may have run.
     asio::awaitable<void> fail(int status, std::string_view reason);
     /// The final answer after the request was stopped; nothing when the caller left.
-    asio::awaitable<void> answer_stopped();
+    asio::awaitable<void> send_stopped_response();
     /// The request was completed, and its upstream did not crash.
     void note_completed();
     void log_end(std::string_view outcome, std::string_view reason, int status);
 
     /// Whether attempts, time and the retry budget allow another send; takes it from the budget.
-    SendHistory::AnotherSend take_another_send(std::int64_t sends_so_far, Duration least_time);
+    SendHistory::AnotherSend take_another_send(std::int64_t sends_so_far, Duration minimum_time);
 
     /// Whether the service's retry budget allows the send; takes from it what the send costs.
     bool try_pay(SendLedger::Send send);
@@ -76,7 +76,7 @@
     void note_not_executed();
 
     /// Keeps what an answer to this request, which was sent at that time, says of its upstream's limit.
-    void note_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at);
+    void record_rate_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at);
 
     /// Asks for a turn at an upstream, which it takes where that named a limit, and waits for it. False where none comes within
     /// the wait, or the request was stopped. The patience is how long the caller can wait to come back where it is told to.
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -22,32 +22,32 @@
     auto parsed = this->state.dialect.read_request(head);
     auto const identifier = parsed.is_error() ? std::string() : parsed.value().identifier;
     if (!routes) {
-        co_await this->answer(exchange, 503, "no_configuration", identifier);
+        co_await this->reject(exchange, 503, "no_configuration", identifier);
         co_return;
     }
     auto const host = head.headers.find("host");
     if (!host) {
-        co_await this->answer(exchange, 400, "no_host", identifier);
+        co_await this->reject(exchange, 400, "no_host", identifier);
         co_return;
     }
     auto const* route = routes->find(*host, head.target);
     if (!route) {
-        co_await this->answer(exchange, 404, "no_route", identifier);
+        co_await this->reject(exchange, 404, "no_route", identifier);
         co_return;
     }
     if (parsed.is_error()) {
-        co_await this->answer(exchange, 400, to_string(parsed.error()), identifier);
+        co_await this->reject(exchange, 400, to_string(parsed.error()), identifier);
         co_return;
     }
     auto request = parsed.release_value();
     auto const caller = identify_caller(routes->configuration().accounts.get(), route->access, request.key);
     if (caller.standing == CallerIdentity::Standing::Refused) {
-        co_await this->answer(exchange, 401, request.key ? "unknown_key" : "no_key", identifier);
+        co_await this->reject(exchange, 401, request.key ? "unknown_key" : "no_key", identifier);
         co_return;
     }
     auto const stop = this->state.stop_time();
     if (stop && !may_begin_before_stop(route->kind, this->expected_time(*route, request), *stop)) {
-        co_await this->answer(exchange, 503, "stopping", identifier);
+        co_await this->reject(exchange, 503, "stopping", identifier);
         co_return;
     }
     auto const has_engine = [&](RouteTarget const& target) {
@@ -70,13 +70,13 @@
     if (!request.prompt || route.targets.empty())
         return expected;
     auto const& prompt = *request.prompt;
-    auto const answer = this->state.answer_pace.probable(route.targets.front().service, prompt.expected_output_tokens, prompt.maximum_output_tokens, this->state.length_spread);
-    if (answer)
-        expected.probable = route.latency_target + *answer;
+    auto const response_time = this->state.answer_pace.probable(route.targets.front().service, prompt.expected_output_tokens, prompt.maximum_output_tokens, this->state.length_spread);
+    if (response_time)
+        expected.probable = route.latency_target + *response_time;
     return expected;
 }
 
-asio::awaitable<void> RequestRouter::answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier)
+asio::awaitable<void> RequestRouter::reject(HttpExchange& exchange, int status, std::string_view reason, std::string identifier)
 {
     LogLine("request_rejected").with("request", identifier).with("status", status).with("reason", reason).with("target", exchange.request().head.target);
     auto head = this->state.dialect.router_response_head(status, identifier);
--- a/Libraries/LibRouter/RequestRouter.h
+++ b/Libraries/LibRouter/RequestRouter.h
@@ -20,7 +20,7 @@
 
 private:
     ExpectedTime expected_time(Route const& route, CallerRequest const& request) const;
-    asio::awaitable<void> answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier);
+    asio::awaitable<void> reject(HttpExchange& exchange, int status, std::string_view reason, std::string identifier);
 
     RouterState& state;
 };
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -152,7 +152,7 @@
         auto const decision = co_await this->request_placement();
         if (this->is_stopped() || !decision) {
             this->release();
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         if (auto const* refusal = std::get_if<PlacementRefusal>(&*decision)) {
@@ -165,7 +165,7 @@
             this->release();
             if (!this->is_stopped())
                 continue;
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         ++this->placements;
@@ -177,7 +177,7 @@
         if (outcome == PlacementOutcome::Finished)
             co_return;
         if (this->is_stopped()) {
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
     }
@@ -319,7 +319,7 @@
     if (!head.is_error()) {
         auto response_body = co_await connection->read_body(MAXIMUM_SHORT_RESPONSE_BYTES);
         auto const info = this->state.dialect.read_response(head.value());
-        this->note_limit(engine.identity, info, head.value().status, in_flight->send_time());
+        this->record_rate_limit(engine.identity, info, head.value().status, in_flight->send_time());
         bool const is_matching_response = info.identifier.empty() || info.identifier == this->request.identifier;
         if (response_body.is_error() || !is_matching_response) {
             connection->abort();
@@ -402,7 +402,7 @@
     in_flight->note_received();
     auto const info = this->state.dialect.read_response(head.value());
     auto const status = head.value().status;
-    this->note_limit(engine.identity, info, status, in_flight->send_time());
+    this->record_rate_limit(engine.identity, info, status, in_flight->send_time());
     if (info.identifier == this->request.identifier && status / 100 == 2 && info.is_signed && !info.is_encoded) {
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
         auto const outcome = co_await this->relay_stream(*in_flight, connection, head.release_value());
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -166,7 +166,7 @@
     int connect_attempts = 0;
     while (true) {
         if (this->is_stopped()) {
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         auto upstream = co_await this->choose_upstream_with_turn();
@@ -176,7 +176,7 @@
             upstream = co_await this->choose_upstream_with_turn();
         }
         if (this->is_stopped()) {
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         if (!upstream) {
@@ -188,7 +188,7 @@
         if (last.end == SendEnd::NotExecuted)
             this->note_not_executed();
         if (this->is_stopped() && last.end != SendEnd::Success) {
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         SendHistory history { this->route.kind, this->earlier, SendHistory::AnotherSend::Spent };
@@ -259,7 +259,7 @@
     // Any answer, even another request's, shows that it is there.
     if (attempt.head.status != 0) {
         in_flight->note_received();
-        this->note_limit(upstream.identity, this->state.dialect.read_response(attempt.head), attempt.head.status, in_flight->send_time());
+        this->record_rate_limit(upstream.identity, this->state.dialect.read_response(attempt.head), attempt.head.status, in_flight->send_time());
     }
     in_flight.reset();
     this->set_active_connection(nullptr);
--- a/Tests/LibRouter/TestPlacementClient.cpp
+++ b/Tests/LibRouter/TestPlacementClient.cpp
@@ -20,9 +20,9 @@
         this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& message, Kernel::Responder const& respond) {
             if (message.has_release())
                 this->released.push_back(message.release().request());
-            if (!message.has_placement_ask() || !this->answers)
+            if (!message.has_placement_ask() || !this->replies)
                 return;
-            ++this->asked;
+            ++this->ask_count;
             wire::Envelope reply;
             reply.mutable_placement_grant()->set_prefill_engine("reader");
             reply.mutable_placement_grant()->set_decode_engine("maker");
@@ -32,8 +32,8 @@
     }
 
     std::unique_ptr<Kernel> kernel;
-    bool answers = true;
-    int asked = 0;
+    bool replies = true;
+    int ask_count = 0;
     std::vector<std::string> released;
 };
 
@@ -102,9 +102,9 @@
 {
     PlacementTest test;
     for (auto* other : test.others())
-        other->answers = false;
+        other->replies = false;
     REQUIRE(test.place("request-1"));
-    REQUIRE(test.own->asked == 1);
+    REQUIRE(test.own->ask_count == 1);
     // The others are back, and one of them keeps.
     REQUIRE(test.run_until([&] { return !test.client->is_keeper(); }));
     test.own->released.clear();
@@ -125,17 +125,17 @@
     PlacementClient const of_other({}, *others[0]->kernel);
     if (!of_other.is_keeper())
         std::swap(keeper, neighbour);
-    keeper->answers = false;
+    keeper->replies = false;
     test.client->ranking().set_hooks({ [&] { return std::vector<std::string> { test.own->kernel->virtual_machine(), neighbour->kernel->virtual_machine() }; } });
     REQUIRE(test.place("request-1"));
     CHECK(keeper->released.empty());
-    CHECK(neighbour->asked + test.own->asked == 1);
+    CHECK(neighbour->ask_count + test.own->ask_count == 1);
     SECTION("and the others again when it is not")
     {
         test.client->ranking().set_hooks({});
-        keeper->answers = true;
+        keeper->replies = true;
         REQUIRE(test.place("request-2"));
-        CHECK(keeper->asked == 1);
+        CHECK(keeper->ask_count == 1);
     }
 }
 
