--- a/Libraries/LibRouter/CallerRequest.h
+++ b/Libraries/LibRouter/CallerRequest.h
@@ -13,32 +13,32 @@
 
 namespace Spurtide {
 
-/// What a model request says of its size.
+/// The size of a model request, as stated by its caller.
 struct PromptInfo {
     std::string model;
     std::int64_t prompt_tokens = 0;
     std::int64_t maximum_output_tokens = 0;
-    /// The caller's guess of the answer's length; 0 where it made none. Right in the median, often far off.
+    /// The caller's estimate of the output length, or 0 if it gave none. Accurate in the median, but often far off.
     std::int64_t expected_output_tokens = 0;
-    /// Names the part of the prompt that no other session has; empty where the caller names none.
+    /// Name of the prompt part that is unique to this session; empty if the caller names none.
     std::string own_part {};
 };
 
-/// A caller's request as far as the router decides by it.
+/// The fields of a caller's request that routing depends on.
 struct CallerRequest {
-    /// Names one attempt of a caller; no other request has the same.
+    /// Unique per attempt of a caller.
     std::string identifier;
-    /// How long the caller waits from when it sent the request.
+    /// How long the caller waits for a response, counted from when it sent the request.
     Duration caller_timeout = seconds(30);
-    /// Of the key that names the caller's account; empty where none came, or more than one.
+    /// Digest of the caller's account key; empty if the request has no key, or more than one.
     std::optional<KeyDigest> key;
-    /// Set for requests to models.
+    /// Set for model requests only.
     std::optional<PromptInfo> prompt;
-    /// The last event that the caller has of this stream; empty where it has none.
+    /// Id of the last event of this stream that the caller received; empty if there is none.
     std::string last_event;
 };
 
-/// Why a request cannot be taken.
+/// Why a request cannot be parsed.
 enum class CallerRequestError {
     MissingIdentifier,
     BadPatience,
@@ -47,87 +47,87 @@
 
 std::string_view to_string(CallerRequestError error);
 
-/// Why an upstream's answer to the router itself is of no use.
+/// Why a response to one of the router's own requests cannot be parsed.
 enum class UpstreamResponseError {
     MalformedBody,
 };
 
-/// Which part of a request an upstream is to do.
+/// The part of a request that an upstream executes.
 enum class DispatchStage {
-    /// The whole of it.
+    /// The entire request.
     Whole,
-    /// Read the prompt and keep its cache for another engine.
+    /// Process the prompt and hold the resulting cache for another engine.
     Prefill,
-    /// Take the cache from where it is kept, and answer.
+    /// Fetch the cache from the engine that holds it and generate the output.
     Decode,
 };
 
 /// One send of a request to an upstream.
 struct Dispatch {
     DispatchStage stage = DispatchStage::Whole;
-    /// What is left of the caller's patience.
+    /// Time left until the request's deadline.
     Duration remaining_time {};
-    /// The life of the upstream that is meant; any other does not run the request.
+    /// The upstream incarnation to run the request; any other refuses it.
     std::string expected_identity;
-    /// The caller's account; empty where it has none.
+    /// The caller's account; empty if it has none.
     std::string account;
-    /// Where the cache is kept, for Decode.
+    /// Address of the engine that holds the cache, for Decode.
     std::string cache_address;
-    /// The identity of the engine there.
+    /// Identity of that engine.
     std::string cache_holder;
     std::string cache_handle;
-    /// The stream goes on behind this event; empty sends what the caller sent.
+    /// Resume the stream after this event; if empty, the caller's own last event id is passed on.
     std::string after_event;
 };
 
-/// What an answer says of the requests a second that its upstream takes from all VMs together.
+/// The request rate, in total from all VMs, that an upstream announces in a response.
 struct RateLimitHeader {
     enum class State {
         Absent,
         Present,
-        /// It is there, and no number that is zero or more.
+        /// Present, but not a non-negative number.
         Malformed,
     } state
         = State::Absent;
-    /// Requests a second, where it is named.
+    /// Requests per second, if present.
     double rate = 0;
 };
 
-/// What an upstream's answer says beside its status.
+/// The metadata of an upstream's response, apart from its status.
 struct ResponseInfo {
-    /// The request that it answers; empty where the answer does not tell.
+    /// The request that it responds to; empty if the response does not say.
     std::string identifier;
-    /// The upstream says that it did not run the request.
+    /// The upstream states that it did not execute the request.
     bool is_not_executed = false;
-    /// The answer carries the upstream's signature, which callers check.
+    /// The response carries the upstream's signature, which callers verify.
     bool is_signed = false;
-    /// The body was changed on its way.
+    /// The body has a content encoding, so that it was changed in transit.
     bool is_encoded = false;
     RateLimitHeader limit {};
 };
 
-/// What an engine says of itself when it is asked.
+/// The status that an engine reports when queried.
 struct EngineStatus {
     std::optional<EngineRole> role;
-    /// Orders that it took in its present life.
+    /// Number of orders accepted by its current incarnation.
     std::int64_t orders_taken = 0;
-    /// Whether it is carrying one out.
+    /// Whether it is executing an order.
     bool is_under_order = false;
 };
 
-/// An order to an engine to change its role.
+/// Tells an engine to change its role.
 struct RoleOrder {
     EngineRole role = EngineRole::Prefill;
     std::string holder;
-    /// The holder's term; engines that check it refuse lower ones than they saw.
+    /// The holder's fencing token. Engines that check it reject tokens lower than the highest seen.
     std::int64_t fence = 0;
-    /// The order is void where the engine took others meanwhile.
+    /// The engine rejects the order if it has accepted others in the meantime.
     std::int64_t expected_orders_taken = 0;
-    /// The life of the engine that is meant.
+    /// The engine incarnation that the order is for.
     std::string expected_identity;
 };
 
-/// A prefill's result, kept by its engine for a short time.
+/// The result of a prefill, which its engine holds for a short time.
 struct PrefillCache {
     std::string handle;
     std::int64_t tokens = 0;
--- a/Libraries/LibRouter/InFlightRequest.h
+++ b/Libraries/LibRouter/InFlightRequest.h
@@ -10,14 +10,14 @@
 
 namespace Spurtide {
 
-/// One request at one upstream, from its send to its end, as far as reach goes. End it before its connection goes
-/// back to the pool, where another request may take it.
+/// Registers a request with the reachability tracker from its send to its end. Destroy it before the connection returns
+/// to the pool, where another request may acquire it.
 class InFlightRequest {
 public:
-    /// What becomes of the connection when the upstream turns out to be out of reach.
+    /// What to do with the connection when the upstream becomes unreachable.
     enum class WhenUnreachable {
         Wait,
-        /// The request may go on elsewhere.
+        /// For requests that may be retried on another upstream.
         Abort,
     };
 
@@ -26,7 +26,7 @@
     InFlightRequest(InFlightRequest const&) = delete;
     InFlightRequest& operator=(InFlightRequest const&) = delete;
 
-    /// Something came from the upstream.
+    /// Call when data arrives from the upstream.
     void note_received();
     UpstreamRecord const& upstream() const { return this->record; }
     std::string const& identity() const { return this->record.identity; }
@@ -35,7 +35,7 @@
 private:
     UpstreamRecord record;
     MonotonicTime sent_at;
-    // Both may outlive the process's state at its end, with the request that waits.
+    // Shared, since a waiting request may outlive the router's state at shutdown.
     std::shared_ptr<ReachabilityTracker> tracker;
     std::shared_ptr<ReachabilityProber::Watched> watched;
     ReachabilityProber::Watched::iterator watch_position;
--- a/Libraries/LibRouter/PlacementClient.cpp
+++ b/Libraries/LibRouter/PlacementClient.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-/// The engines of a deployment of today's size are one cell.
+/// Current deployments are small enough for all engines to form a single cell.
 constexpr std::string_view CELL = "engines";
-/// A keeper and the one that follows it; after them this VM decides for itself.
+/// The keeper and its successor in the ranking; after them, this VM decides for itself.
 constexpr std::size_t MAXIMUM_REMOTE_KEEPERS = 2;
 
 CallerVisit visit_from_message(bool is_return) { return is_return ? CallerVisit::Return : CallerVisit::First; }
 
-/// A caller that turns out to come back is decided about later.
+/// If the caller turns out to be returning, the decision may take until the deadline for a late first token.
 Duration longest_decision_time(PlacementClient::AskTimes const& times) { return std::max(times.decide_within, times.late_within); }
 
 wire::Envelope release_message(std::string const& request, std::int64_t output_tokens, PlacementClient::EngineFaults const& faults)
@@ -98,7 +98,7 @@
         while (!pending->reply && !pending->is_given_up)
             co_await pending->signal.wait();
         if (pending->is_given_up || pending->reply->is_error()) {
-            // Whatever it grants, or did grant without the answer coming through, is not taken up.
+            // Release a grant that is still to come, or whose reply was lost.
             this->kernel.notify(endpoint, release_message(ask.request, 0, {}));
         }
         if (pending->is_given_up)
@@ -156,12 +156,12 @@
     auto const keeper = this->current_keeper();
     auto const message = release_message(request, output_tokens, faults);
     this->kernel.notify(keeper, message);
-    // What it does not know to be over it would take for a duplicate when the request asks again.
+    // Without the release, the granter would treat a later ask of the same request as a duplicate.
     if (granter != keeper)
         this->kernel.notify(granter, message);
 }
 
-// A keeper that is new in office knows nothing; until it hears what is held it would promise memory twice.
+// A new keeper has no record of the grants. Until it learns of them, it would assign the same memory twice.
 void PlacementClient::check_for_keeper_change()
 {
     auto const keeper = this->current_keeper();
--- a/Libraries/LibRouter/PlacementClient.h
+++ b/Libraries/LibRouter/PlacementClient.h
@@ -16,25 +16,25 @@
 
 namespace Spurtide {
 
-/// Asks the keeper of the engines for places, tells it of progress and ends, and names to it what is held.
-/// Where the keeper does not answer, the next VM in the same order is asked, and at last the own one.
+/// Requests placements from the keeper of the engines, reports their progress and release to it, and renews the grants that
+/// are held. If the keeper does not respond, asks the next VM of the ranking, and finally the local placement service.
 class PlacementClient {
 public:
     struct Options {
-        /// Beyond the time that the keeper may take to decide.
+        /// Allowed for the round trip, beyond the time in which the keeper decides.
         Duration reply_slack = milliseconds(120);
-        /// Silence after which the keeper's process is asked whether it is there.
+        /// Time without a reply after which the keeper's process is probed.
         Duration silence = milliseconds(120);
-        /// A keeper that did not answer is not asked again for so long.
+        /// How long a keeper that did not respond is not asked again.
         Duration suspicion_time = milliseconds(1500);
-        /// How often held grants are named to the keeper. Two that did not come free what a dead VM held: the shorter, the
-        /// sooner its engines' memory is promised again; the messages of some 350 open streams are 100 KB a second.
+        /// How often held grants are renewed. The keeper frees the grants of a VM after two missed renewals, so a shorter interval
+        /// makes the engine memory of a dead VM available sooner. Renewing some 350 open streams takes 100 KB per second.
         Duration renewal_interval = milliseconds(700);
-        /// How often the keeper is looked up while nothing is asked.
+        /// How often to check for a change of the keeper between asks.
         Duration keeper_check_interval = milliseconds(100);
     };
 
-    /// A wait that its request may give up.
+    /// A pending ask that its request can cancel.
     class PendingAsk {
     public:
         explicit PendingAsk(asio::any_io_executor const& executor)
@@ -54,35 +54,35 @@
         bool is_given_up = false;
     };
 
-    /// How long an ask may take, each from when it is made.
+    /// Time limits of an ask, counted from when it is made.
     struct AskTimes {
         Duration decide_within {};
         Duration first_token_within {};
-        /// A late first token is of use for so long; zero where it is of none.
+        /// How long a late first token is still useful; zero if it is not.
         Duration late_within {};
     };
 
-    /// What went wrong with the engines of a grant.
+    /// The engines of a grant that failed.
     struct EngineFaults {
-        /// It did not answer, or not as it should; empty where none failed.
+        /// The engine that did not respond, or responded incorrectly; empty if there is none.
         std::string failed_engine;
-        /// One of them is at fault for a place that was promised and refused.
+        /// The engines of which one is responsible for refusing a request that was granted a placement.
         std::vector<std::string> refusing_engines;
     };
 
     PlacementClient(Options options, Kernel& kernel);
-    /// The order in which VMs are asked; shared with whoever else needs a keeper.
+    /// The order in which VMs are asked; shared with other clients of a keeper.
     KeeperRanking& ranking() { return this->keepers; }
 
     void start();
 
-    /// Empty when the ask was given up. Whatever was granted then is released.
+    /// Returns nothing if the ask was given up; whatever was granted to it is released.
     asio::awaitable<std::optional<PlacementDecision>> ask(PlacementAsk ask, std::shared_ptr<PendingAsk> pending, AskTimes const& times);
     void progress(std::string const& request, GrantProgress progress);
-    /// The request needs its grant no more.
+    /// Releases the request's grant.
     void release(std::string const& request, std::int64_t output_tokens, EngineFaults const& faults);
 
-    /// Whether this VM keeps the engines, as far as it knows.
+    /// Whether this VM is the keeper of the engines, to its knowledge.
     bool is_keeper() const { return this->current_keeper() == this->kernel.endpoint(); }
     std::size_t held_count() const { return this->held_grants.size(); }
 
@@ -90,7 +90,7 @@
     struct HeldGrant {
         PlacementAsk ask;
         PlacementGrant grant;
-        /// Who granted it; another may keep the engines by the time of its end.
+        /// The VM that granted it. Another one may be the keeper by the time of the release.
         std::string keeper;
         GrantProgress phase = GrantProgress::Prefilling;
         MonotonicTime since;
--- a/Libraries/LibRouter/PlacementService.cpp
+++ b/Libraries/LibRouter/PlacementService.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// While asks wait, time passes for them in these steps.
+/// How often the scheduler is advanced while asks are pending.
 constexpr Duration PENDING_TICK_INTERVAL = milliseconds(20);
 constexpr Duration HOUSEKEEPING_INTERVAL = milliseconds(500);
-/// Longer than news of a new VM takes to come around.
+/// Longer than it takes for news of a new VM to reach all others.
 constexpr Duration DEAD_ORIGIN_GRACE = seconds(2);
-/// Limits of accounts are counted before a place is asked for.
+/// Account quotas are enforced before a placement is requested.
 constexpr double UNLIMITED_RATE = 1e9;
-/// Tokens a second before anything was measured, in the order of engines of today.
+/// The rate of a typical engine, assumed until prefills have been measured.
 constexpr double INITIAL_PREFILL_TOKENS_PER_SECOND = 50'000;
-/// Part of a model's places that are taken before more engines are used. Long prompts fill an engine's memory with half
-/// of its places taken, and a burst of twice the load has to find room at once.
+/// Share of a model's slots in use above which more engines are added to the subset. Long prompts can fill an engine's memory
+/// while only half of its slots are in use, and a burst of twice the load must find room at once.
 constexpr double CROWDED_SLOT_SHARE = 0.25;
 
 std::string_view visit_name(CallerVisit visit) { return visit == CallerVisit::Return ? "return" : "first"; }
@@ -83,7 +83,7 @@
     this->ensure_account({});
 }
 
-// An asking VM may have a newer configuration, with accounts that this one has not heard of.
+// The asking VM may have a newer configuration, with accounts that are unknown here.
 void PlacementService::ensure_account(std::string const& account)
 {
     if (this->account_weights.try_emplace(account, 1).second)
@@ -96,7 +96,7 @@
     double largest = 0;
     for (auto const& account : accounts)
         largest = std::max(largest, account.limit ? account.limit->rate : 0);
-    // Accounts share engines that are scarce as their limits are to each other; one without counts like the largest.
+    // Accounts share scarce engines in proportion to their rate limits; an account without a limit weighs as much as the largest.
     for (auto const& account : accounts)
         weights[account.name] = account.limit ? account.limit->rate / largest : 1;
     if (weights == this->account_weights)
@@ -118,7 +118,7 @@
 {
     this->kernel.every(HOUSEKEEPING_INTERVAL, [this] {
         auto const now = this->note_activity();
-        // A VM that nobody asks any more does not follow the list.
+        // Only follow the upstream list while this service is asked for placements.
         if (std::exchange(this->was_asked, false) && this->has_newer_offer)
             this->refresh_engines();
         this->forget_dead_origins(now);
@@ -181,10 +181,10 @@
     return this->subset_engine_names.contains(engine);
 }
 
-// Engines are left out since they are not needed; whoever waits while there are some shows that they are.
+// Engines outside the subset are unused as long as they are not needed. A crowded model shows that more are.
 void PlacementService::grow_subset(MonotonicTime now)
 {
-    // Where all engines are used already there is nothing to look for.
+    // Skip the check if all engines are in use already.
     if (!this->offered_routes || !this->subset.has_more())
         return;
     auto crowded = this->scheduler.crowded_models(CROWDED_SLOT_SHARE);
@@ -226,7 +226,7 @@
         auto const& release = request.release();
         if (!release.failed_engine().empty())
             this->scheduler.note_failure(release.failed_engine(), now);
-        // Each prompt that was read for a refused place is lost, so both get nothing until one request tried them.
+        // Every prefill for a refused placement is wasted, so both engines get no requests until a single one has tried them.
         for (auto const& engine : release.refusing_engines())
             this->scheduler.note_failure(engine, now);
         this->pending_responders.erase(release.request());
@@ -246,13 +246,13 @@
 void PlacementService::handle_placement_ask(wire::PlacementAsk const& message, Kernel::Responder const& respond)
 {
     auto const now = this->hooks.clock();
-    // Whoever asked while this process stood still has asked another keeper; a place here would be held for nobody.
+    // Clients that asked while this process was suspended have moved on to another keeper; a grant would go unused.
     if (this->pauses.is_catching_up(now) && message.origin() != this->kernel.incarnation()) {
         LogLine("stale_ask_dropped").with("request", message.request()).with("origin", message.origin());
         return;
     }
     if (this->scheduler.summary(now).engines == 0) {
-        // Just started: whoever asks goes on to a keeper that has heard of engines.
+        // This process has just started. Let the client ask another VM, which already knows the engines.
         respond(error_reply(wire::ERROR_CODE_NOT_READY));
         return;
     }
@@ -266,7 +266,7 @@
     this->grow_subset(now);
 }
 
-// An earlier keeper may have worked with more engines. One that is gone since is in no choice.
+// A previous keeper may have used engines outside this subset. Engines that have left the upstream list are ignored.
 void PlacementService::keep_granted_engines(wire::GrantRecords const& message)
 {
     bool has_new = false;
@@ -334,7 +334,7 @@
     this->is_timer_set = true;
     this->timer.expires_after(PENDING_TICK_INTERVAL);
     this->timer.async_wait([this](asio::error_code error) {
-        // It is cancelled by the end of this alone.
+        // The timer is only cancelled by the destructor.
         if (error)
             return;
         this->is_timer_set = false;
--- a/Libraries/LibRouter/PlacementService.h
+++ b/Libraries/LibRouter/PlacementService.h
@@ -20,25 +20,26 @@
 
 namespace Spurtide {
 
-/// Hosts the placement service: schedules the engines exactly, by what entries ask, take up and release.
-/// Every VM hosts one; entries agree by themselves on the one that they ask.
+/// Hosts the placement service, which assigns requests to engines from the asks, progress reports and releases of all VMs.
+/// Every VM hosts one. The VMs agree without coordination on the one that they ask, the keeper of the engines.
 class PlacementService {
 public:
     PlacementService(CellScheduler::Options options, Kernel& kernel, Metrics& metrics, asio::io_context& loop);
 
     void start();
-    /// Takes the engines from the configuration and the list of upstreams.
+    /// Replaces the engines with those of the configuration and the upstream list.
     void set_engines(RoutingConfiguration const& configuration, UpstreamList const& upstreams);
-    /// The same when they are needed next. Most VMs are never asked for a place, and with thousands of engines taking them
-    /// up at each change would be most of what a small VM does. The list has to live as long as this.
+    /// Like set_engines(), but deferred until the engines are next needed. Most VMs are never asked for a placement, and with
+    /// thousands of engines, applying each change would take up most of a small VM's processing time. The upstream list must
+    /// outlive this object.
     void offer_engines(std::shared_ptr<RouteTable const> routes, UpstreamList const& upstreams);
-    /// Whether the engine is one of those that this keeper works with.
+    /// Whether the engine is in the subset that this service schedules.
     bool uses_engine(std::string_view engine);
 
-    /// The accounts that share the engines.
+    /// Sets the accounts that share the engines.
     void set_accounts(std::span<ClientAccount const> accounts);
 
-    /// The engine has the prompts with these parts in memory.
+    /// Records that the engine has cached the prompts with these parts.
     void note_cached(std::string_view engine, std::span<std::string const> own_parts)
     {
         this->apply_offered_engines();
@@ -47,9 +48,9 @@
     void handle(wire::Envelope const& request, Kernel::Responder const& respond);
 
     struct Hooks {
-        /// A request asks for its first place.
+        /// Called when a request asks for its first placement.
         std::function<void(PlacementAsk const&)> on_first_ask = [](auto const&) {};
-        /// Whether an engine is between two roles and takes nothing.
+        /// Whether an engine is switching roles and accepts no requests.
         std::function<bool(std::string_view engine)> is_changing_role = [](auto) { return false; };
         std::function<MonotonicTime()> clock = monotonic_now;
     };
@@ -72,9 +73,8 @@
 
     CellScheduler scheduler;
     EngineSubset subset { EngineSubset::Options {} };
-    /// Of the subset.
     std::set<std::string, std::less<>> subset_engine_names;
-    /// What the engines are taken from when they are needed; empty where they were set.
+    /// The source of deferred engine updates; null if the engines were set directly.
     std::shared_ptr<RouteTable const> offered_routes;
     UpstreamList const* offered_upstreams = nullptr;
     bool has_newer_offer = false;
--- a/Libraries/LibRouter/PromptCacheFetcher.cpp
+++ b/Libraries/LibRouter/PromptCacheFetcher.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Names of some thousand parts.
+/// Enough for the names of a few thousand prompt parts.
 constexpr std::size_t MAXIMUM_LIST_BYTES = 1024UL * 1024;
 
 }
@@ -47,7 +47,7 @@
             keeper_since = now;
         if (now - *keeper_since < this->options.keeper_settle_time)
             continue;
-        // They enter the list one by one.
+        // Engines are added to the upstream list one at a time, so each pass queries only the new ones.
         std::vector<UpstreamRecord> due;
         this->state.upstreams.for_each([&](UpstreamRecord const& record) {
             bool const is_decoding = record.role == EngineRole::Decode && record.life == UpstreamRecord::Life::Serving;
--- a/Libraries/LibRouter/PromptCacheFetcher.h
+++ b/Libraries/LibRouter/PromptCacheFetcher.h
@@ -11,22 +11,24 @@
 
 namespace Spurtide {
 
-/// Asks the engines once which prompts they have in memory, when this VM has become their keeper. A keeper that is
-/// new in office does not know where the answers were made that its predecessor's death broke off; their callers
-/// come back all together, and an engine that still has a prompt need not read it again.
+/// Queries each engine once for its cached prompts after this VM has become the keeper. A new keeper does not know which
+/// engines served the responses that were cut off when its predecessor died. Their callers retry all at once, and an
+/// engine that still caches a prompt can skip its prefill.
 class PromptCacheFetcher {
 public:
     struct Options {
-        /// A VM that has just started may take itself for the keeper until it hears of others.
+        /// How long this VM must have been the keeper. Until it has heard of its peers, a VM that has just started
+        /// considers itself the keeper.
         Duration keeper_settle_time = milliseconds(300);
         Duration check_interval = milliseconds(100);
-        /// An engine that does not answer by then is passed over.
+        /// Per engine. One that does not respond in time is skipped.
         Duration timeout = milliseconds(250);
     };
 
     struct Hooks {
         std::function<bool()> is_keeper;
-        /// Whether the keeper gives the engine work: of thousands all others have read none of its callers' prompts.
+        /// Whether the keeper schedules requests on the engine. The rest of thousands of engines have cached none of its callers'
+        /// prompts.
         std::function<bool(std::string_view engine)> is_used = [](auto) { return true; };
         std::function<void(std::string_view engine, std::span<std::string const> own_parts)> on_cached;
     };
--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// A caller that comes back sooner meets the same trouble.
+/// A caller that retries sooner fails for the same reason.
 constexpr Duration MINIMUM_RETRY_AFTER = milliseconds(100);
 
 std::string format_seconds(Duration duration)
@@ -27,8 +27,8 @@
     return text.data();
 }
 
-/// The tokens that a request names, prompt and longest answer together. Callers may name any number, so that whole ones
-/// would not hold the sum.
+/// Sum of a request's prompt tokens and maximum output tokens. A double, since callers may state numbers whose sum overflows
+/// an integer.
 std::optional<double> total_tokens(CallerRequest const& request)
 {
     if (!request.prompt)
@@ -89,7 +89,7 @@
             co_await this->send_stopped_response();
         else
             co_await this->forward_request();
-        // What has not run costs the account nothing.
+        // Requests that have not run are not charged to the account.
         if (this->quota_cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
             this->state.quota->give_back(this->counted_account, this->quota_cost);
     }
@@ -99,7 +99,7 @@
 
 asio::awaitable<bool> RequestHandler::admit()
 {
-    // What crashes whatever runs it costs its account nothing.
+    // Checked before the quota: quarantined requests are not charged to the account.
     if (this->state.quarantine->held_for(this->fingerprint)) {
         this->stop(StopReason::Quarantined);
         co_await this->send_stopped_response();
@@ -160,14 +160,14 @@
 
 void RequestHandler::record_rate_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at)
 {
-    // An answer to another request tells nothing, and behind 421 is another upstream.
+    // A response to another request says nothing about this upstream, and 421 comes from another incarnation.
     if (info.identifier != this->request.identifier || status == 421)
         return;
     if (info.limit.state == RateLimitHeader::State::Malformed) {
         LogLine("upstream_limit_unreadable").with("request", this->request.identifier).with("upstream", upstream);
         return;
     }
-    // One that only turns requests away may leave out what it names in others.
+    // Upstreams may omit the header from responses that only refuse a request.
     if (info.limit.state == RateLimitHeader::State::Absent && info.is_not_executed)
         return;
     UpstreamLimitStatement statement { {}, sent_at };
@@ -196,7 +196,7 @@
     LogLine("upstream_turn").with("request", this->request.identifier).with("upstream", upstream).with("rate", *rate).with("outcome", outcome).with("wait_ms", to_milliseconds(turn.wait));
     this->state.metrics.increment("spurtide_upstream_turns_total", "Turns asked for at upstreams that named a limit", { { "service", this->service }, { "outcome", outcome } });
     if (!is_granted) {
-        // The time that is kept for the caller goes before those of others.
+        // A turn that was reserved for the caller takes precedence over estimates for other upstreams.
         this->next_turn = turn_patience > Duration::zero() ? turn.wait : std::min(turn.wait, this->next_turn.value_or(turn.wait));
         co_return false;
     }
@@ -214,13 +214,13 @@
 asio::awaitable<bool> RequestHandler::report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since)
 {
     auto const ran_for = std::chrono::duration_cast<Duration>(monotonic_now() - since);
-    // What was broken off for the caller or the clock tells nothing, and one that leaves stops as planned.
+    // A connection that we aborted ourselves does not indicate a crash, and an upstream that is leaving stops as planned.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity))
         co_return false;
     auto process = this->state.prober.known_process(upstream);
     if (process != ReachabilityProber::Process::Gone && error == HttpError::Closed)
         process = co_await this->state.prober.probe_process(upstream);
-    // Of a data centre that is cut off all connections may be refused.
+    // All connections to a data centre that is cut off may be refused.
     if (process != ReachabilityProber::Process::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
         co_return false;
     LogLine("upstream_crashed")
@@ -324,7 +324,7 @@
     if (retry_after)
         head.headers.add("Retry-After", format_seconds(std::max(*retry_after, MINIMUM_RETRY_AFTER)));
     this->log_end(status == 503 ? "refused_not_run" : "rejected", reason, status);
-    // A caller that does not take the answer is gone; there is nobody left to tell.
+    // If sending fails, the caller has disconnected.
     static_cast<void>(co_await this->exchange.respond(std::move(head), {}));
 }
 
--- a/Libraries/LibRouter/RequestRouter.cpp
+++ b/Libraries/LibRouter/RequestRouter.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A VM that has just started has its configuration well within this, and another answers for one that stops.
+/// A VM that has just started receives its configuration well within this time, and another VM serves the retry if this one
+/// is stopping.
 constexpr std::string_view RETRY_AFTER_SECONDS = "0.2";
 
 }
--- a/Libraries/LibRouter/RequestRouter.h
+++ b/Libraries/LibRouter/RequestRouter.h
@@ -8,7 +8,7 @@
 
 namespace Spurtide {
 
-/// Takes callers' requests: finds the route, reads what the request says of itself, and starts its flow.
+/// Receives callers' requests: parses them, finds their routes and passes them to request handlers.
 class RequestRouter {
 public:
     explicit RequestRouter(RouterState& state)
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -29,7 +29,7 @@
 class QuotaClient;
 class UpstreamLimiter;
 
-/// What all requests of a VM share. Lives on the one event loop.
+/// The state that all requests of a VM share. Only accessed from the event loop's thread.
 struct RouterState {
     asio::io_context& loop;
     CallerDialect const& dialect;
@@ -37,31 +37,31 @@
     std::string data_centre;
     RegionMap regions {};
     SharedRetryBudget::Options retry_options {};
-    /// Empty before the first configuration came.
+    /// Null until the first configuration has arrived.
     std::shared_ptr<RouteTable const> routes {};
     UpstreamList upstreams { UpstreamList::Options {} };
-    /// Shared with the requests at upstreams.
+    /// Shared with the requests in flight.
     std::shared_ptr<ReachabilityTracker> reachability = std::make_shared<ReachabilityTracker>(ReachabilityTracker::Options {}, data_centre);
     UpstreamSelector selector { UpstreamSelector::Options {} };
     ConnectionPool pool { ConnectionPool::Options {} };
     ReachabilityProber prober { ReachabilityProber::Options {}, loop, reachability, pool, upstreams };
     std::map<std::string, SharedRetryBudget> retry_budgets {};
-    /// This VM's part of what cold upstreams bear.
+    /// Schedules this VM's share of the requests to cold upstreams.
     ColdTurns cold_turns { ColdTurns::Options {} };
-    /// Those that are alive, or on the other side of a cut.
+    /// The VMs that may send requests: those that are alive, and those beyond a network partition.
     std::function<SendingMachines()> sending_machines = [] { return SendingMachines {}; };
     AnswerPace answer_pace {};
-    /// How far answers' lengths are from what callers expect: standard deviation of the logarithm.
+    /// Standard deviation of the logarithm of the actual output length over the caller's estimate.
     double length_spread = 0.6;
     PlacementClient* placement = nullptr;
     QuotaClient* quota = nullptr;
     QuarantineKeeper* quarantine = nullptr;
     CrashReporter* crashes = nullptr;
     UpstreamLimiter* limiter = nullptr;
-    /// This VM's part of the retry budgets' allowance, which all VMs share.
+    /// This VM's share of the retry budgets' allowance, which is common to all VMs.
     std::function<double()> retry_allowance_part = [] { return 1.0; };
 
-    /// Empty while this process goes on.
+    /// Empty unless this process is stopping.
     std::function<std::optional<StopTime>()> stop_time = [] { return std::optional<StopTime> {}; };
 
     SharedRetryBudget& retry_budget_for(std::string const& service) { return this->retry_budgets.try_emplace(service, this->retry_options).first->second; }
--- a/Libraries/LibRouter/ServiceCall.cpp
+++ b/Libraries/LibRouter/ServiceCall.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A reply on its way to the coroutine that waits for it.
+/// Passes a reply to the coroutine that awaits it.
 struct PendingReply {
     explicit PendingReply(asio::any_io_executor const& executor)
         : signal(executor)
--- a/Libraries/LibRouter/ServiceCall.h
+++ b/Libraries/LibRouter/ServiceCall.h
@@ -9,7 +9,7 @@
 
 namespace Spurtide {
 
-/// Sends a request to a service of another VM and waits for its reply on the kernel's loop.
+/// Sends a request to a service of another VM and awaits the reply on the kernel's event loop.
 asio::awaitable<WireReply> call_service(Kernel& kernel, std::string endpoint, wire::Envelope envelope, Kernel::Patience patience);
 
 }
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Of the time to the first event: a caller that is refused within it can still be served in time elsewhere.
+/// Share of the first event's latency target. A caller that is refused within it still has time to be served elsewhere.
 constexpr double DECISION_TIME_SHARE = 0.22;
-/// Of the time that callers wait for an event before they leave.
+/// Share of the time that callers wait for an event before they disconnect.
 constexpr double FIRST_EVENT_WAIT_SHARE = 0.7;
-/// Less is not worth a placement.
+/// With less time left, a placement has little chance to succeed.
 constexpr Duration MINIMUM_TIME_FOR_PLACEMENT = milliseconds(200);
-/// Reading the longest prompts and the queue before them takes less.
+/// Longer than the prefill of the longest prompts, including the queue ahead of them.
 constexpr Duration PREFILL_TIMEOUT = milliseconds(1200);
 constexpr int MAXIMUM_PLACEMENTS = 3;
 constexpr std::size_t MAXIMUM_SHORT_RESPONSE_BYTES = 64UL * 1024;
@@ -88,7 +88,7 @@
     co_return decision;
 }
 
-// An account's own rank goes before its routes'.
+// The account's priority takes precedence over the route's.
 std::int64_t StreamingRequestHandler::placement_priority() const
 {
     constexpr std::int64_t LARGEST = 1000;
@@ -100,7 +100,7 @@
 
 void StreamingRequestHandler::note_visit(PlacementDecision const& decision)
 {
-    // What was found out at the first placement holds on for the next.
+    // The first placement determines whether the caller is returning; later ones keep the result.
     if (this->placements == 0)
         this->visit = std::visit([](auto const& either) { return either.visit; }, decision);
 }
@@ -111,7 +111,8 @@
     auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * FIRST_EVENT_WAIT_SHARE);
     PlacementClient::AskTimes times;
     if (this->placements > 0) {
-        // It was placed before: refused now it is lost, and an answer that is late, or goes on after a pause, is not.
+        // The request has been placed before. Refusing it now would lose it, whereas the caller still accepts a response that is
+        // late or that resumes after a pause.
         auto const spent = this->exchange.has_begun() ? std::chrono::duration_cast<Duration>(monotonic_now() - this->last_event_at) : age;
         times.first_token_within = patience - spent;
         times.decide_within = times.first_token_within;
@@ -124,8 +125,8 @@
     return times;
 }
 
-// The keeper may reach engines that this VM does not, and does not know where the request has to stay. A data centre that is
-// out of reach is named as a whole: it may have thousands of engines.
+// The keeper may reach engines that this VM cannot, and does not know which data centres the request is restricted to. A data
+// centre is excluded as a whole, since it may have thousands of engines.
 void StreamingRequestHandler::exclude_unreachable(PlacementAsk& ask) const
 {
     auto const now = monotonic_now();
@@ -230,7 +231,7 @@
     auto const* prefill_engine = this->state.upstreams.find(grant.prefill_engine);
     auto const* decode_engine = this->state.upstreams.find(grant.decode_engine);
     if (!decode_engine || (!grant.prefill_engine.empty() && !prefill_engine)) {
-        // The keeper knows an engine that this VM has not heard of, or not any more.
+        // The keeper's upstream list differs from this VM's.
         this->failed_engines.push_back(decode_engine ? grant.prefill_engine : grant.decode_engine);
         co_return co_await this->retry_or_fail(SendEnd::NotSent, "unknown_engine");
     }
@@ -241,7 +242,7 @@
     auto const decode_address = parse_address(decoder.address);
     if (!decode_address)
         co_return co_await this->retry_or_fail(SendEnd::NotSent, "bad_address");
-    // A prompt that is read before the decode engine turns out to be away is read for nothing.
+    // Check that the decode engine accepts connections before the prefill, which would be wasted otherwise.
     auto reserved = co_await this->state.pool.acquire(*decode_address, this->freshness());
     if (!reserved.is_error())
         this->state.pool.put_back_unused(*decode_address, reserved.value());
@@ -331,7 +332,7 @@
             else
                 cache = parsed_cache.release_value();
         }
-        // An engine that is full or has begun to leave works as it should.
+        // An engine that refuses because it is full or leaving is healthy.
         is_engine_healthy = info.is_not_executed;
     }
     if (head.is_error())
@@ -342,10 +343,10 @@
     in_flight.reset();
     this->set_active_connection(nullptr);
     this->state.pool.release(*address, connection);
-    // What the caller or the clock cut off says nothing of the engine.
+    // A request that was stopped on our side says nothing about the engine's health.
     if (!cache && !this->is_stopped()) {
         if (is_engine_healthy) {
-            // It is full, leaves or changes its role, and being idle it would be chosen again and again.
+            // It is full, leaving or changing its role. If it looks idle, the keeper would choose it again and again.
             this->failed_engines.push_back(engine.identity);
             this->refusing_engines = { engine.identity };
         } else
@@ -467,8 +468,8 @@
             bool const has_crashed = co_await this->report_crash(in_flight.upstream(), piece.error(), in_flight.send_time());
             if (this->is_stopped())
                 co_return PlacementOutcome::Retry;
-            // One answer that broke off says little of the engine, but this request goes on elsewhere. Of one that is gone
-            // the keeper hears at once, which else would give it out until its entry lapses.
+            // A single interrupted stream says little about the engine's health, so it is only excluded for this request. A
+            // crashed engine is reported to the keeper, which otherwise would assign it until its list entry expires.
             if (has_crashed)
                 this->failed_engine = in_flight.identity();
             else
@@ -479,7 +480,7 @@
         in_flight.note_received();
         bool const is_end = piece.value().empty();
         auto bytes = this->events.append(piece.value());
-        // A stream that cannot go on elsewhere need not wait for the end of an event.
+        // Partial events only have to be withheld from streams that can be resumed on another engine.
         if (!this->route.is_resumable || is_end)
             bytes += this->events.take_remainder();
         if (!this->exchange.has_begun()) {
@@ -505,14 +506,13 @@
     }
 }
 
-// What follows a send that brought no answer.
 asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::retry_or_fail(SendEnd end, std::string_view reason, SendHistory::AnotherSend allowed_send)
 {
-    // A stream that may go on behind its last event may be sent again, like a call that may be repeated.
+    // A stream that can be resumed after its last event may be sent again, like a repeatable unary request.
     auto const kind = this->route.is_resumable ? RouteKind::Repeatable : RouteKind::NotRepeatable;
     SendHistory history { kind, this->earlier, SendHistory::AnotherSend::Spent };
     bool const may_go_on = allowed_send == SendHistory::AnotherSend::Allowed && this->placements < MAXIMUM_PLACEMENTS;
-    // What was not sent is no attempt, but a prefill that was refused has arrived.
+    // An unsent request does not count as an attempt, but its refused prefill is charged to the retry budget.
     if (may_go_on)
         history.another_send = this->take_another_send(end == SendEnd::NotSent ? 0 : this->sends, MINIMUM_TIME_FOR_PLACEMENT);
     auto const step = next_step(end, history);
@@ -536,7 +536,7 @@
         ConnectionPool::Call options;
         options.timeout = FREE_CACHE_TIMEOUT;
         options.largest_body = MAXIMUM_SHORT_RESPONSE_BYTES;
-        // NOTE: Where this fails the engine frees the cache itself when its hold time is over.
+        // NOTE: If this fails, the engine frees the cache itself when its hold time expires.
         static_cast<void>(co_await state.pool.call(*address, std::move(request), std::move(options)));
     };
     asio::co_spawn(this->state.loop, free(this->state, engine_address, handle), asio::detached);
--- a/Libraries/LibRouter/StreamingRequestHandler.h
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -9,14 +9,14 @@
 
 namespace Spurtide {
 
-/// Cuts a stream's bytes at the ends of its events, counts them and remembers the last one's id.
+/// Splits an event stream at event boundaries, counts the events and tracks the last event id.
 class EventStreamSplitter {
 public:
-    /// Takes bytes; gives those that end with a whole event.
+    /// Appends received bytes and returns all bytes up to the end of the last complete event.
     std::string append(std::string_view bytes);
-    /// What follows the last whole event.
+    /// Removes and returns the bytes after the last complete event.
     std::string take_remainder() { return std::exchange(this->pending, {}); }
-    /// Forgets the beginning of an event whose stream broke off; the next stream sends the event anew.
+    /// Drops the bytes of an incomplete event after its connection was lost; the resumed stream sends the event again.
     void discard_partial_event() { this->pending.clear(); }
     std::int64_t event_count() const { return this->events; }
     std::string const& last_identifier() const { return this->last_id; }
@@ -27,8 +27,8 @@
     std::string last_id;
 };
 
-/// Carries a request to a model: a place is promised first, then the prompt is read by one engine and the
-/// answer made by another.
+/// Handles a model request: obtains a placement first, then has the prompt processed by a prefill engine and the output
+/// streamed by a decode engine. A placement without a prefill engine leaves both to the decode engine.
 class StreamingRequestHandler final : public RequestHandler {
 public:
     using RequestHandler::RequestHandler;
@@ -39,9 +39,9 @@
     void describe_end(LogLine& line) const override;
 
     enum class PlacementOutcome {
-        /// The answer is over, whole or not.
+        /// The response has ended, complete or not.
         Finished,
-        /// Another placement may be tried.
+        /// Another placement may be requested.
         Retry,
     };
 
@@ -49,27 +49,27 @@
     std::int64_t placement_priority() const;
     void note_visit(PlacementDecision const& decision);
     asio::awaitable<std::optional<PlacementDecision>> request_placement();
-    /// One placement from its grant to its end.
+    /// Runs the request on the engines of a grant.
     asio::awaitable<PlacementOutcome> run_placement(PlacementGrant grant);
     asio::awaitable<std::optional<PrefillCache>> prefill(UpstreamRecord engine);
     asio::awaitable<PlacementOutcome> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
     void note_event(MonotonicTime now);
     asio::awaitable<PlacementOutcome> relay_stream(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
     void exclude_unreachable(PlacementAsk& ask) const;
-    /// Takes a turn at each engine of the grant that named a limit. False where one has none for now: the request is not placed
-    /// there again.
+    /// Takes a turn at each engine of the grant that has announced a rate limit. Returns false if one of them has none for now;
+    /// that engine is excluded from further placements.
     asio::awaitable<bool> take_engine_turns(PlacementGrant grant);
     asio::awaitable<void> respond_to_refusal(PlacementRefusal refusal);
-    /// Goes on elsewhere where that is wanted and allowed, else answers.
+    /// Returns Retry if another send is allowed. Otherwise sends the final response.
     asio::awaitable<PlacementOutcome> retry_or_fail(SendEnd end, std::string_view reason, SendHistory::AnotherSend allowed_send = SendHistory::AnotherSend::Allowed);
     void free_cache(std::string const& address, std::string const& handle);
     ConnectionPool::Freshness freshness() const;
     void release();
-    /// Tokens of the answer that came so far.
+    /// Number of output tokens received so far.
     std::int64_t relayed_tokens() const;
 
     std::shared_ptr<PlacementClient::PendingAsk> pending_ask;
-    /// Where the present placement's answer is made.
+    /// Decode engine of the current placement.
     std::string last_engine;
     std::vector<std::string> failed_engines;
     std::string failed_engine;
--- a/Libraries/LibRouter/UnaryRequestHandler.cpp
+++ b/Libraries/LibRouter/UnaryRequestHandler.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Less time than this is not worth another send.
+/// With less time left, another send has little chance to succeed.
 constexpr Duration MINIMUM_TIME_FOR_SEND = milliseconds(50);
-/// Connections that do not come up cost nobody anything but time.
+/// Failed connection attempts are retried without charging the retry budget, since they put no load on upstreams.
 constexpr int MAXIMUM_CONNECT_ATTEMPTS = 3;
 constexpr std::size_t MAXIMUM_RESPONSE_BYTES = 8UL * 1024 * 1024;
 constexpr Duration FULL_UPSTREAM_RETRY_AFTER = milliseconds(300);
 constexpr Duration NO_UPSTREAM_RETRY_AFTER = milliseconds(500);
-/// Of the latency target, what a request may wait for its turn at an upstream; the rest is left for the answer.
+/// Share of the latency target that a request may wait for its turn at an upstream; the rest is for the response.
 constexpr double TURN_WAIT_SHARE = 0.5;
-/// An answer to another request may come in the place of the one that is due.
+/// A response to another request may arrive before the expected one.
 constexpr int MAXIMUM_MISMATCHED_RESPONSES = 3;
 
 Duration unix_time() { return milliseconds(unix_milliseconds()); }
@@ -49,7 +49,7 @@
     });
     auto const now = monotonic_now();
     auto const is_reachable = [&](UpstreamRecord const* record) { return this->state.reachability->is_reachable(record->identity, record->data_centre, now); };
-    // Where none can be reached, one of them may be again.
+    // If none is known to be reachable, try one anyway: it may be reachable again.
     if (std::any_of(records.begin(), records.end(), is_reachable))
         std::erase_if(records, [&](auto const* record) { return !is_reachable(record); });
     this->exclude_cold_upstreams(records, now);
@@ -77,7 +77,7 @@
 
 bool UnaryRequestHandler::is_cold(UpstreamRecord const& upstream, MonotonicTime now) const { return now<upstream.cold_until&& this->cold_rate()> 0; }
 
-// A cold upstream bears a bounded rate from all VMs together, so this one sends to it in its turn alone.
+// A cold upstream can only take a limited rate from all VMs together, so each VM sends to it only in its turn.
 void UnaryRequestHandler::exclude_cold_upstreams(std::vector<UpstreamRecord const*>& records, MonotonicTime now)
 {
     this->next_cold_turn.reset();
@@ -119,13 +119,13 @@
         auto const upstream = this->choose_upstream();
         if (!upstream)
             co_return std::nullopt;
-        // While there are others it goes to one of them instead of waiting.
+        // Only wait for a turn if there is no other upstream to try.
         auto const wait = this->was_only_choice ? this->longest_wait_for_turn() : Duration::zero();
         auto const turn_patience = this->was_only_choice ? this->caller_time_left() : Duration::zero();
         bool const has_turn = co_await this->take_turn(upstream->identity, wait, turn_patience);
         if (has_turn)
             co_return upstream;
-        // Its caller has a time to come back now; asking on would keep another one for it elsewhere.
+        // The caller has been assigned a time to retry. Asking another upstream would reserve a second one.
         if (turn_patience > Duration::zero())
             co_return std::nullopt;
         this->upstreams_without_turn.insert(upstream->identity);
@@ -135,7 +135,7 @@
 
 asio::awaitable<void> UnaryRequestHandler::respond_without_upstream(Attempt const& last)
 {
-    // What an upstream answered is of more use than that no other could be asked.
+    // An upstream's error response tells the caller more than the lack of another upstream.
     if (last.end == SendEnd::OwnFailure) {
         this->note_completed();
         co_await this->relay_response(last);
@@ -171,7 +171,7 @@
         }
         auto upstream = co_await this->choose_upstream_with_turn();
         if (!upstream && this->route.kind == RouteKind::Repeatable && !this->tried_upstreams.empty() && connect_attempts < MAXIMUM_CONNECT_ATTEMPTS) {
-            // Where there is no other, the same one may do better the next time.
+            // Without another upstream, retry those that failed before.
             this->tried_upstreams.clear();
             upstream = co_await this->choose_upstream_with_turn();
         }
@@ -223,7 +223,8 @@
         attempt.reason = "bad_address";
         co_return attempt;
     }
-    // A connection that the other side is just closing would leave a request in doubt that must not be repeated.
+    // If the upstream is about to close an idle connection, it is unclear whether the request ran. One that must not be
+    // repeated therefore needs a recently used connection.
     auto const freshness = this->route.kind == RouteKind::Repeatable ? ConnectionPool::Freshness::Any : ConnectionPool::Freshness::Recent;
     auto const sent_at = monotonic_now();
     this->state.selector.note_sent(upstream.identity);
@@ -237,7 +238,7 @@
     }
     auto const connection = acquired.release_value();
     this->recheck_admission();
-    // While the connection came up the upstream may have begun to leave, or the caller may have left.
+    // The upstream may have begun to leave, or the request may have been stopped, while the connection was established.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity)) {
         this->state.pool.release(*address, connection);
         this->state.selector.note_end(upstream.identity, UpstreamOutcome::Full, Duration::zero(), monotonic_now());
@@ -256,7 +257,7 @@
     auto const expected_body = this->exchange.request().head.method == "HEAD" ? MessageParser::ExpectedBody::None : MessageParser::ExpectedBody::AsFramed;
     connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body, expected_body);
     attempt = co_await this->read_response(connection);
-    // Any answer, even another request's, shows that it is there.
+    // Any response, even to another request, proves that the upstream is reachable.
     if (attempt.head.status != 0) {
         in_flight->note_received();
         this->record_rate_limit(upstream.identity, this->state.dialect.read_response(attempt.head), attempt.head.status, in_flight->send_time());
@@ -265,7 +266,7 @@
     this->set_active_connection(nullptr);
     auto const now = monotonic_now();
     auto const took = std::chrono::duration_cast<Duration>(now - sent_at);
-    // What the caller or the clock cut off says nothing about the upstream.
+    // A request that was stopped on our side says nothing about the upstream's health.
     auto const outcome = this->is_stopped() && attempt.end == SendEnd::Lost ? UpstreamOutcome::Full : outcome_of(attempt.end);
     this->state.selector.note_end(upstream.identity, outcome, took, now);
     if (attempt.end == SendEnd::Lost)
--- a/Libraries/LibRouter/UnaryRequestHandler.h
+++ b/Libraries/LibRouter/UnaryRequestHandler.h
@@ -8,7 +8,7 @@
 
 namespace Spurtide {
 
-/// Carries a call to a plain service.
+/// Handles a request to a service without engines, whose response is relayed as a whole.
 class UnaryRequestHandler final : public RequestHandler {
 public:
     using RequestHandler::RequestHandler;
@@ -16,37 +16,37 @@
 private:
     asio::awaitable<void> forward_request() override;
 
-    /// One send and what it brought.
+    /// The result of one send.
     struct Attempt {
         SendEnd end = SendEnd::NotSent;
         std::string reason;
         HttpResponseHead head;
         std::string body;
-        /// Set where the connection ended before the answer did.
+        /// Set if the connection failed before the response was complete.
         std::optional<HttpError> connection_error;
     };
 
     asio::awaitable<Attempt> send_to(UpstreamRecord upstream);
     asio::awaitable<Attempt> read_response(std::shared_ptr<HttpConnection> connection);
     std::optional<UpstreamRecord> choose_upstream();
-    /// The same, with a turn where the upstream named a limit.
+    /// Also takes a turn if the upstream has announced a rate limit.
     asio::awaitable<std::optional<UpstreamRecord>> choose_upstream_with_turn();
-    /// Takes out those whose next turn is another VM's; where these are all, but the one that is free first.
+    /// Removes the upstreams at which this VM was denied a turn. If that would leave none, keeps the one that can be asked first.
     void exclude_limited_upstreams(std::vector<UpstreamRecord const*>& records, MonotonicTime now) const;
     Duration longest_wait_for_turn() const;
     asio::awaitable<void> respond_without_upstream(Attempt const& last);
     double cold_rate() const;
     bool is_cold(UpstreamRecord const& upstream, MonotonicTime now) const;
-    /// Takes out those that are cold and not this VM's turn.
+    /// Removes the cold upstreams at which it is another VM's turn to send.
     void exclude_cold_upstreams(std::vector<UpstreamRecord const*>& records, MonotonicTime now);
     asio::awaitable<void> relay_response(Attempt const& attempt);
 
     std::set<std::string> tried_upstreams;
-    /// Had no turn for this send.
+    /// Upstreams that denied a turn for the current send.
     std::set<std::string> upstreams_without_turn;
-    /// Whether the last choice had only one upstream to choose.
+    /// Whether the last choice had a single candidate.
     bool was_only_choice = false;
-    /// Time until this VM may send to one of those that were taken out by the last choice since they are cold.
+    /// Time until this VM's next turn at one of the cold upstreams that the last choice excluded; empty if it excluded none.
     std::optional<Duration> next_cold_turn;
 };
 
--- a/Tests/LibRouter/TestInFlightRequest.cpp
+++ b/Tests/LibRouter/TestInFlightRequest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What a request at an upstream is noted with, without any network.
+/// The dependencies of an in-flight request, without a network.
 struct InFlightRequestTest {
     asio::io_context loop { 1 };
     std::shared_ptr<ReachabilityTracker> tracker = std::make_shared<ReachabilityTracker>(ReachabilityTracker::Options {}, "dc");
--- a/Tests/LibRouter/TestPlacementClient.cpp
+++ b/Tests/LibRouter/TestPlacementClient.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A VM that keeps engines, as far as its clients see: it grants or says nothing, and remembers what it was told.
+/// A VM with a stub placement service, which grants every ask or does not reply, and records releases.
 struct KeeperVirtualMachine {
     KeeperVirtualMachine(asio::io_context& loop, std::string const& name)
     {
@@ -37,7 +37,7 @@
     std::vector<std::string> released;
 };
 
-/// A client on one of three VMs that keep engines.
+/// A client on one of three VMs with placement services.
 struct PlacementTest {
     PlacementTest()
     {
@@ -48,7 +48,7 @@
             members.push_back(member_of(*machine->kernel));
         for (auto const& machine : this->machines)
             machine->kernel->directory().replace(1, 0, members, {});
-        // The client stands on a VM that others go before.
+        // The client runs on a VM that is not the keeper.
         for (auto const& machine : this->machines) {
             PlacementClient const client({}, *machine->kernel);
             if (!client.is_keeper())
@@ -73,7 +73,7 @@
 
     bool run_until(std::function<bool()> const& condition) { return run_loop_until(this->loop, condition); }
 
-    /// Whether the request got a place.
+    /// Returns whether the request was granted a placement.
     bool place(std::string const& request)
     {
         std::optional<bool> granted;
@@ -105,7 +105,7 @@
         other->replies = false;
     REQUIRE(test.place("request-1"));
     REQUIRE(test.own->ask_count == 1);
-    // The others are back, and one of them keeps.
+    // The others respond again, and one of them becomes the keeper.
     REQUIRE(test.run_until([&] { return !test.client->is_keeper(); }));
     test.own->released.clear();
     test.client->release("request-1", 7, {});
@@ -119,7 +119,7 @@
 {
     PlacementTest test;
     auto const others = test.others();
-    // Who would keep is elsewhere and does not answer.
+    // The VM that would be the keeper is in another data centre and does not respond.
     auto* keeper = others[0];
     auto* neighbour = others[1];
     PlacementClient const of_other({}, *others[0]->kernel);
--- a/Tests/LibRouter/TestPlacementService.cpp
+++ b/Tests/LibRouter/TestPlacementService.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Whose engines are of model "m".
+/// A configuration whose engines serve model "m".
 RoutingConfiguration engines_of_model()
 {
     ServiceTraits service;
@@ -21,7 +21,7 @@
     return configuration;
 }
 
-/// A keeper on a loop of its own, that is asked without the wire.
+/// A placement service on its own event loop, called directly instead of over the network.
 struct PlacementServiceTest {
     explicit PlacementServiceTest(CellScheduler::Options scheduler_options = {})
     {
@@ -33,7 +33,7 @@
         this->placement_service = std::make_unique<PlacementService>(std::move(scheduler_options), *this->kernel, this->metrics, this->loop);
     }
 
-    /// One engine of each role, of model "m".
+    /// Adds one engine of each role for model "m".
     void add_engines()
     {
         UpstreamList upstreams { UpstreamList::Options {} };
@@ -101,7 +101,7 @@
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
     PlacementServiceTest test(options);
-    // From here on time passes by the test alone.
+    // From here on, the test controls the clock.
     auto now = monotonic_now();
     PlacementService::Hooks hooks;
     hooks.clock = [&] { return now; };
@@ -113,7 +113,7 @@
     now += milliseconds(20);
     CHECK_FALSE(test.ask("stale-2"));
     CHECK(test.placement_service->engine_states().at("m").size() == 2);
-    // This VM's own entry asks after the pause.
+    // Asks from this VM itself cannot predate the pause.
     CHECK(test.ask("own", test.kernel->incarnation()));
     now += milliseconds(100);
     auto const reply = test.ask("after");
@@ -121,13 +121,13 @@
     CHECK(reply->has_placement_grant());
 }
 
-// Peers may run another version, or be no peers at all.
+// Messages may come from peers that run another version, or from processes that are not peers.
 TEST_CASE("Damaged messages of peers never crash the keeper, and it goes on to place", "[whole]")
 {
     auto const seed = GENERATE(range(1, 9));
     CAPTURE(seed);
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-    // The library tells of each text that is no UTF-8.
+    // The library logs every string that is not valid UTF-8.
     google::protobuf::LogSilencer const silencer;
     PlacementServiceTest test;
     test.add_engines();
@@ -173,7 +173,7 @@
         if (envelope.ParseFromString(bytes))
             test.placement_service->handle(envelope, [](wire::Envelope const&) {});
     }
-    // Whatever they made of its accounts is let go in time, and nothing of it is left in the way of a new model.
+    // Nothing that the damaged messages left behind may keep a new request from being decided.
     wire::Envelope release;
     release.mutable_release()->set_request("r");
     test.placement_service->handle(release, [](wire::Envelope const&) {});
@@ -200,7 +200,7 @@
         auto const reply = test.ask("r" + std::to_string(granted));
         REQUIRE(reply);
         REQUIRE(reply->has_placement_grant());
-        // Its prompt is read, and its answer goes on being made.
+        // The prefill is finished and the request keeps its decode slot.
         wire::Envelope read;
         read.mutable_progress()->set_request("r" + std::to_string(granted));
         read.mutable_progress()->set_progress(wire::GRANT_PROGRESS_CACHE_HELD);
@@ -210,7 +210,7 @@
     ask();
     auto const at_first = test.placement_service->engine_states().at("m").size();
     CHECK(at_first == 64);
-    // Four hundred at once are more than a quarter of what the first engines have places for.
+    // 400 concurrent requests take more than a quarter of the first engines' slots.
     while (granted < 400)
         ask();
     auto const at_last = test.placement_service->engine_states().at("m").size();
