--- a/Tests/LibRouter/TestEventStreamSplitter.cpp
+++ b/Tests/LibRouter/TestEventStreamSplitter.cpp
@@ -6,7 +6,7 @@
 
 using namespace Spurtide;
 
-TEST_CASE("Streams are cut at the ends of events whatever the pieces", "[whole]")
+TEST_CASE("Streams are split at event boundaries for any chunk size", "[whole]")
 {
     std::string const stream = "id: 1\ndata: a\n\nid:2\ndata: b\n\nid: 3\ndata: c\n\n";
     auto const piece = GENERATE(std::size_t { 1 }, std::size_t { 3 }, std::size_t { 100 });
@@ -23,7 +23,7 @@
     REQUIRE(splitter.take_remainder().empty());
 }
 
-TEST_CASE("The torn beginning of an event is not put before the stream that goes on", "[whole][kill]")
+TEST_CASE("A partial event is dropped before the stream is resumed", "[whole][kill]")
 {
     EventStreamSplitter splitter;
     REQUIRE(splitter.append("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
@@ -33,7 +33,7 @@
     REQUIRE(splitter.event_count() == 2);
 }
 
-TEST_CASE("Data that looks like an id is not one")
+TEST_CASE("Data that looks like an id field is not parsed as one")
 {
     EventStreamSplitter splitter;
     REQUIRE_FALSE(splitter.append("id: 7\ndata: paid: 9\n\n").empty());
--- a/Tests/LibRouter/TestInFlightRequest.cpp
+++ b/Tests/LibRouter/TestInFlightRequest.cpp
@@ -24,7 +24,7 @@
 
 }
 
-TEST_CASE("A request is watched and counts as waiting from its send to its end, and no longer", "[cut]")
+TEST_CASE("A request is watched and counts as waiting only from its send to its end", "[cut]")
 {
     InFlightRequestTest test;
     {
@@ -37,7 +37,7 @@
     CHECK_FALSE(test.is_waiting());
 }
 
-TEST_CASE("What must not go on elsewhere is not broken off", "[cut][at-most-once]")
+TEST_CASE("A request that must not be retried elsewhere is not aborted", "[cut][at-most-once]")
 {
     InFlightRequestTest test;
     InFlightRequest const in_flight(test.prober, test.upstream, test.connection, InFlightRequest::WhenUnreachable::Wait);
@@ -45,7 +45,7 @@
     CHECK(test.is_waiting());
 }
 
-TEST_CASE("A request that waits may outlive what it was noted with", "[cut]")
+TEST_CASE("A waiting request may outlive the prober that it was registered with", "[cut]")
 {
     auto test = std::make_unique<InFlightRequestTest>();
     auto in_flight = std::make_unique<InFlightRequest>(test->prober, test->upstream, test->connection, InFlightRequest::WhenUnreachable::Abort);
--- a/Tests/LibRouter/TestPlacementClient.cpp
+++ b/Tests/LibRouter/TestPlacementClient.cpp
@@ -98,7 +98,7 @@
 
 }
 
-TEST_CASE("A place is released at the keeper that granted it, whoever keeps by then", "[held][cut]")
+TEST_CASE("A grant is released at the VM that granted it even if the keeper has changed", "[held][cut]")
 {
     PlacementTest test;
     for (auto* other : test.others())
@@ -115,7 +115,7 @@
     REQUIRE(test.run_until([&] { return std::count(others[0]->released.begin(), others[0]->released.end(), "request-1") + std::count(others[1]->released.begin(), others[1]->released.end(), "request-1") > 2; }));
 }
 
-TEST_CASE("In a data centre that is cut off its own VMs are asked, and no other is waited for", "[cut]")
+TEST_CASE("In a data centre that is cut off, only its own VMs are asked", "[cut]")
 {
     PlacementTest test;
     auto const others = test.others();
@@ -130,7 +130,7 @@
     REQUIRE(test.place("request-1"));
     CHECK(keeper->released.empty());
     CHECK(neighbour->ask_count + test.own->ask_count == 1);
-    SECTION("and the others again when it is not")
+    SECTION("and the other VMs are asked again when it is not")
     {
         test.client->ranking().set_hooks({});
         keeper->replies = true;
@@ -139,7 +139,7 @@
     }
 }
 
-TEST_CASE("A release goes once to a keeper that granted and still keeps", "[held]")
+TEST_CASE("A release is sent only once if the VM that granted is still the keeper", "[held]")
 {
     PlacementTest test;
     REQUIRE(test.place("request-1"));
--- a/Tests/LibRouter/TestPlacementService.cpp
+++ b/Tests/LibRouter/TestPlacementService.cpp
@@ -66,7 +66,7 @@
 
 }
 
-TEST_CASE("A keeper that has not heard of engines says so, and refuses nobody", "[not-run][kill]")
+TEST_CASE("A keeper without engines replies that it is not ready instead of refusing requests", "[not-run][kill]")
 {
     PlacementServiceTest test;
     auto const reply = test.ask("r1");
@@ -75,7 +75,7 @@
     CHECK_FALSE(reply->has_placement_refusal());
 }
 
-TEST_CASE("A keeper that knows engines of other models refuses", "[not-run]")
+TEST_CASE("A keeper that only knows engines of other models refuses the request", "[not-run]")
 {
     PlacementServiceTest test;
     RoutingConfiguration configuration;
@@ -96,7 +96,7 @@
     CHECK(reply->has_placement_refusal());
 }
 
-TEST_CASE("A keeper that stood still holds no place for those who asked meanwhile", "[freeze][held]")
+TEST_CASE("A keeper that was suspended holds no slots for asks from the meantime", "[freeze][held]")
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
@@ -122,7 +122,7 @@
 }
 
 // Messages may come from peers that run another version, or from processes that are not peers.
-TEST_CASE("Damaged messages of peers never crash the keeper, and it goes on to place", "[whole]")
+TEST_CASE("Malformed messages from peers never crash the keeper, and it continues to decide asks", "[whole]")
 {
     auto const seed = GENERATE(range(1, 9));
     CAPTURE(seed);
@@ -182,7 +182,7 @@
         CHECK((reply->has_placement_grant() || reply->has_placement_refusal()));
 }
 
-TEST_CASE("A keeper before thousands of engines works with some, and with more as soon as these are not enough", "[fleet][burst]")
+TEST_CASE("A keeper with thousands of engines uses a subset and extends it when it becomes crowded", "[fleet][burst]")
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
