--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -6,7 +6,7 @@
 #include <LibRouter/CrashReporter.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
-#include <LibRouter/RequestFlow.h>
+#include <LibRouter/RequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <algorithm>
 #include <array>
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// A caller that comes back sooner meets the same trouble.
-constexpr Duration SHORTEST_RETRY_AFTER = milliseconds(100);
+/// A caller that retries sooner fails for the same reason.
+constexpr Duration MINIMUM_RETRY_AFTER = milliseconds(100);
 
 std::string format_seconds(Duration duration)
 {
@@ -27,16 +27,16 @@
     return text.data();
 }
 
-/// The tokens that a request names, prompt and longest answer together. Callers may name any number, so that whole ones
-/// would not hold the sum.
-std::optional<double> tokens_of(CallerRequest const& request)
+/// Sum of a request's prompt tokens and maximum output tokens. A double, since callers may state numbers whose sum overflows
+/// an integer.
+std::optional<double> total_tokens(CallerRequest const& request)
 {
     if (!request.prompt)
         return {};
     return static_cast<double>(request.prompt->prompt_tokens) + static_cast<double>(request.prompt->maximum_output_tokens);
 }
 
-RequestFingerprint fingerprint_of(HttpRequest const& request, ClientAccount const* account)
+RequestFingerprint compute_fingerprint(HttpRequest const& request, ClientAccount const* account)
 {
     RequestFingerprint::Parts parts;
     parts.method = request.head.method;
@@ -49,65 +49,65 @@
 
 }
 
-RequestFlow::RequestFlow(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request)
+RequestHandler::RequestHandler(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request)
     : state(state)
     , exchange(exchange)
     , routes(std::move(routes))
     , route(route)
     , request(std::move(request))
-    , fingerprint(fingerprint_of(exchange.request(), account))
+    , fingerprint(compute_fingerprint(exchange.request(), account))
     , service(route.target_for(XXH3_64bits(this->request.identifier.data(), this->request.identifier.size())))
     , account(account ? account->name : std::string())
     , body(std::make_shared<std::string const>(exchange.request().body))
     , residency(route.home_regions, account ? account->home_regions : std::vector<std::string>())
-    , ledger(state.budget_of(this->service))
-    , until(exchange.received_at() + std::min(route.timeout, this->request.patience))
+    , ledger(state.retry_budget_for(this->service))
+    , deadline(exchange.received_at() + std::min(route.timeout, this->request.caller_timeout))
     , counted_account(this->account)
-    , cost(account ? account->cost_of(tokens_of(this->request)) : 0)
-    , limit(state.loop)
+    , quota_cost(account ? account->cost_of(total_tokens(this->request)) : 0)
+    , deadline_timer(state.loop)
 {
 }
 
-asio::awaitable<void> RequestFlow::run()
+asio::awaitable<void> RequestHandler::run()
 {
     auto const self = this->shared_from_this();
-    std::weak_ptr<RequestFlow> const weak = self;
+    std::weak_ptr<RequestHandler> const weak = self;
     this->exchange.when_caller_leaves([weak] {
-        if (auto const flow = weak.lock())
-            flow->stop(StopReason::CallerLeft);
+        if (auto const handler = weak.lock())
+            handler->stop(StopReason::CallerLeft);
     });
-    this->limit.expires_at(this->until);
-    this->limit.async_wait([weak](asio::error_code error) {
-        auto const flow = weak.lock();
-        if (!error && flow)
-            flow->stop(StopReason::OutOfTime);
+    this->deadline_timer.expires_at(this->deadline);
+    this->deadline_timer.async_wait([weak](asio::error_code error) {
+        auto const handler = weak.lock();
+        if (!error && handler)
+            handler->stop(StopReason::OutOfTime);
     });
-    this->state.budget_of(this->service).note_request(monotonic_now());
-    bool const is_let_in = co_await this->let_in();
-    if (is_let_in) {
+    this->state.retry_budget_for(this->service).note_request(monotonic_now());
+    bool const is_admitted = co_await this->admit();
+    if (is_admitted) {
         if (this->is_stopped())
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
         else
-            co_await this->carry();
-        // What has not run costs the account nothing.
-        if (this->cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
-            this->state.quota->give_back(this->counted_account, this->cost);
+            co_await this->forward_request();
+        // Requests that have not run are not charged to the account.
+        if (this->quota_cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
+            this->state.quota->give_back(this->counted_account, this->quota_cost);
     }
     this->ledger.refund_unused();
-    this->limit.cancel();
+    this->deadline_timer.cancel();
 }
 
-asio::awaitable<bool> RequestFlow::let_in()
+asio::awaitable<bool> RequestHandler::admit()
 {
-    // What crashes whatever runs it costs its account nothing.
+    // Checked before the quota: quarantined requests are not charged to the account.
     if (this->state.quarantine->held_for(this->fingerprint)) {
         this->stop(StopReason::Quarantined);
-        co_await this->answer_stopped();
+        co_await this->send_stopped_response();
         co_return false;
     }
-    if (this->cost <= 0)
+    if (this->quota_cost <= 0)
         co_return true;
-    auto const decision = co_await this->state.quota->take(this->account, this->cost, this->patience_left());
+    auto const decision = co_await this->state.quota->take(this->account, this->quota_cost, this->caller_time_left());
     if (decision.outcome == QuotaClient::Outcome::Counted)
         co_return true;
     if (this->stop_reason == StopReason::CallerLeft)
@@ -117,14 +117,14 @@
     co_return false;
 }
 
-void RequestFlow::check_may_send()
+void RequestHandler::recheck_admission()
 {
     this->check_key();
     if (this->state.quarantine->held_for(this->fingerprint))
         this->stop(StopReason::Quarantined);
 }
 
-void RequestFlow::check_key()
+void RequestHandler::check_key()
 {
     auto const newest = this->state.routes;
     if (newest == this->routes)
@@ -136,43 +136,43 @@
         this->account = identity.account ? identity.account->name : std::string();
 }
 
-void RequestFlow::stop(StopReason reason)
+void RequestHandler::stop(StopReason reason)
 {
     if (this->is_stopped())
         return;
     this->stop_reason = reason;
-    if (this->active)
-        this->active->abort();
+    if (this->active_connection)
+        this->active_connection->abort();
     this->on_stop();
 }
 
-void RequestFlow::note_sent()
+void RequestHandler::note_sent()
 {
     ++this->sends;
     this->ledger.note_run(monotonic_now());
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "run" } });
-    this->before_send = std::exchange(this->earlier, SendHistory::Earlier::MayHaveRun);
+    this->earlier_before_send = std::exchange(this->earlier, SendHistory::Earlier::MayHaveRun);
 }
 
-void RequestFlow::note_not_executed() { this->earlier = this->before_send; }
+void RequestHandler::note_not_executed() { this->earlier = this->earlier_before_send; }
 
-void RequestFlow::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
+void RequestHandler::note_completed() { this->state.crashes->note_completed(this->service, this->fingerprint); }
 
-void RequestFlow::note_limit(std::string_view upstream, AnswerFacts const& facts, int status, MonotonicTime sent_at)
+void RequestHandler::record_rate_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at)
 {
-    // An answer to another request tells nothing, and behind 421 is another upstream.
-    if (facts.identifier != this->request.identifier || status == 421)
+    // A response to another request says nothing about this upstream, and 421 comes from another incarnation.
+    if (info.identifier != this->request.identifier || status == 421)
         return;
-    if (facts.limit.state == LimitField::State::Unreadable) {
+    if (info.limit.state == RateLimitHeader::State::Malformed) {
         LogLine("upstream_limit_unreadable").with("request", this->request.identifier).with("upstream", upstream);
         return;
     }
-    // One that only turns requests away may leave out what it names in others.
-    if (facts.limit.state == LimitField::State::Absent && facts.is_not_executed)
+    // Upstreams may omit the header from responses that only refuse a request.
+    if (info.limit.state == RateLimitHeader::State::Absent && info.is_not_executed)
         return;
     UpstreamLimitStatement statement { {}, sent_at };
-    if (facts.limit.state == LimitField::State::Named)
-        statement = { facts.limit.rate, monotonic_now() };
+    if (info.limit.state == RateLimitHeader::State::Present)
+        statement = { info.limit.rate, monotonic_now() };
     auto const before = this->state.limiter->rate_of(upstream);
     if (this->state.limiter->note(upstream, statement) == UpstreamLimitTable::Change::None)
         return;
@@ -184,7 +184,7 @@
         line.with("before", *before);
 }
 
-asio::awaitable<bool> RequestFlow::take_turn(std::string upstream, Duration longest_wait, Duration turn_patience)
+asio::awaitable<bool> RequestHandler::take_turn(std::string upstream, Duration longest_wait, Duration turn_patience)
 {
     auto const rate = this->state.limiter->rate_of(upstream);
     if (!rate)
@@ -196,7 +196,7 @@
     LogLine("upstream_turn").with("request", this->request.identifier).with("upstream", upstream).with("rate", *rate).with("outcome", outcome).with("wait_ms", to_milliseconds(turn.wait));
     this->state.metrics.increment("spurtide_upstream_turns_total", "Turns asked for at upstreams that named a limit", { { "service", this->service }, { "outcome", outcome } });
     if (!is_granted) {
-        // The time that is kept for the caller goes before those of others.
+        // A turn that was reserved for the caller takes precedence over estimates for other upstreams.
         this->next_turn = turn_patience > Duration::zero() ? turn.wait : std::min(turn.wait, this->next_turn.value_or(turn.wait));
         co_return false;
     }
@@ -211,16 +211,16 @@
     co_return false;
 }
 
-asio::awaitable<bool> RequestFlow::report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since)
+asio::awaitable<bool> RequestHandler::report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since)
 {
     auto const ran_for = std::chrono::duration_cast<Duration>(monotonic_now() - since);
-    // What was broken off for the caller or the clock tells nothing, and one that leaves stops as planned.
+    // A connection that we aborted ourselves does not indicate a crash, and an upstream that is leaving stops as planned.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity))
         co_return false;
     auto process = this->state.prober.known_process(upstream);
     if (process != ReachabilityProber::Process::Gone && error == HttpError::Closed)
         process = co_await this->state.prober.probe_process(upstream);
-    // Of a data centre that is cut off all connections may be refused.
+    // All connections to a data centre that is cut off may be refused.
     if (process != ReachabilityProber::Process::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
         co_return false;
     LogLine("upstream_crashed")
@@ -237,31 +237,31 @@
     co_return true;
 }
 
-Duration RequestFlow::patience_left() const
+Duration RequestHandler::caller_time_left() const
 {
-    return std::chrono::duration_cast<Duration>(this->exchange.received_at() + this->request.patience - monotonic_now());
+    return std::chrono::duration_cast<Duration>(this->exchange.received_at() + this->request.caller_timeout - monotonic_now());
 }
 
-Duration RequestFlow::time_left() const
+Duration RequestHandler::time_left() const
 {
-    return std::chrono::duration_cast<Duration>(this->until - monotonic_now());
+    return std::chrono::duration_cast<Duration>(this->deadline - monotonic_now());
 }
 
-SendHistory::AnotherSend RequestFlow::take_another_send(std::int64_t sends_so_far, Duration least_time)
+SendHistory::AnotherSend RequestHandler::take_another_send(std::int64_t sends_so_far, Duration minimum_time)
 {
-    if (sends_so_far >= this->route.maximum_attempts || this->time_left() < least_time || this->is_stopped())
+    if (sends_so_far >= this->route.maximum_attempts || this->time_left() < minimum_time || this->is_stopped())
         return SendHistory::AnotherSend::Spent;
     return this->try_pay(SendAccounting::Send::Run) ? SendHistory::AnotherSend::Allowed : SendHistory::AnotherSend::Spent;
 }
 
-bool RequestFlow::try_pay(SendAccounting::Send send)
+bool RequestHandler::try_pay(SendAccounting::Send send)
 {
     auto const count = this->ledger.uncharged(send);
     if (count == 0)
         return true;
     auto const part = this->state.retry_allowance_part();
     bool const is_taken = this->ledger.try_charge(send, part, monotonic_now());
-    auto const level = this->state.budget_of(this->service).level(part, monotonic_now());
+    auto const level = this->state.retry_budget_for(this->service).level(part, monotonic_now());
     std::string const outcome = is_taken ? "taken" : "spent";
     LogLine("extra_send")
         .with("request", this->request.identifier)
@@ -277,7 +277,7 @@
     return is_taken;
 }
 
-asio::awaitable<void> RequestFlow::refuse(std::string_view reason, Duration retry_after)
+asio::awaitable<void> RequestHandler::refuse(std::string_view reason, Duration retry_after)
 {
     if (this->is_stopped() && this->stop_reason == StopReason::CallerLeft) {
         this->log_end("caller_left", reason, 0);
@@ -286,7 +286,7 @@
     co_await this->reject(503, reason, retry_after);
 }
 
-asio::awaitable<void> RequestFlow::fail(int status, std::string_view reason)
+asio::awaitable<void> RequestHandler::fail(int status, std::string_view reason)
 {
     if (this->exchange.has_begun()) {
         this->log_end("broken_off", reason, 0);
@@ -294,10 +294,10 @@
         co_return;
     }
     this->log_end("failed_may_have_run", reason, status);
-    static_cast<void>(co_await this->exchange.respond(this->state.dialect.own_head(status, this->request.identifier), {}));
+    static_cast<void>(co_await this->exchange.respond(this->state.dialect.router_response_head(status, this->request.identifier), {}));
 }
 
-asio::awaitable<void> RequestFlow::answer_stopped()
+asio::awaitable<void> RequestHandler::send_stopped_response()
 {
     if (this->stop_reason == StopReason::CallerLeft) {
         this->log_end("caller_left", "caller_left", 0);
@@ -313,22 +313,22 @@
     else if (this->stop_reason == StopReason::KeyRevoked)
         co_await this->fail(502, "key_revoked");
     else if (has_not_run)
-        co_await this->refuse("out_of_time", SHORTEST_RETRY_AFTER);
+        co_await this->refuse("out_of_time", MINIMUM_RETRY_AFTER);
     else
         co_await this->fail(504, "out_of_time");
 }
 
-asio::awaitable<void> RequestFlow::reject(int status, std::string_view reason, std::optional<Duration> retry_after)
+asio::awaitable<void> RequestHandler::reject(int status, std::string_view reason, std::optional<Duration> retry_after)
 {
-    auto head = this->state.dialect.own_head(status, this->request.identifier);
+    auto head = this->state.dialect.router_response_head(status, this->request.identifier);
     if (retry_after)
-        head.headers.add("Retry-After", format_seconds(std::max(*retry_after, SHORTEST_RETRY_AFTER)));
+        head.headers.add("Retry-After", format_seconds(std::max(*retry_after, MINIMUM_RETRY_AFTER)));
     this->log_end(status == 503 ? "refused_not_run" : "rejected", reason, status);
-    // A caller that does not take the answer is gone; there is nobody left to tell.
+    // If sending fails, the caller has disconnected.
     static_cast<void>(co_await this->exchange.respond(std::move(head), {}));
 }
 
-void RequestFlow::log_end(std::string_view outcome, std::string_view reason, int status)
+void RequestHandler::log_end(std::string_view outcome, std::string_view reason, int status)
 {
     auto const took = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
     LogLine line("request_end");
@@ -342,7 +342,7 @@
         .with("status", status)
         .with("sends", this->sends)
         .with("target_ms", to_milliseconds(this->route.latency_target))
-        .with("patience_ms", to_milliseconds(this->request.patience))
+        .with("patience_ms", to_milliseconds(this->request.caller_timeout))
         .with("ms", to_milliseconds(took));
     this->describe_end(line);
     std::string const kind = this->request.prompt ? "stream" : "call";
--- /dev/null
+++ b/Libraries/LibRouter/RequestHandler.h
@@ -0,0 +1,130 @@
+// SPDX-FileCopyrightText: 2026 The Spurtide developers
+// SPDX-License-Identifier: BSD-2-Clause
+
+#pragma once
+
+#include <LibAsync/HttpExchange.h>
+#include <LibCore/LogLine.h>
+#include <LibDecision/RequestFingerprint.h>
+#include <LibDecision/RetryPolicy.h>
+#include <LibDecision/SendAccounting.h>
+#include <LibRouter/RouterState.h>
+#include <functional>
+#include <memory>
+#include <string>
+
+namespace Spurtide {
+
+/// Handles one request from its route to its final response. Implements what unary and streaming requests have in common:
+/// the deadline, caller disconnects, and the responses that the router generates itself.
+class RequestHandler : public std::enable_shared_from_this<RequestHandler> {
+public:
+    /// The account is null for callers that have none.
+    RequestHandler(RouterState& state, HttpExchange& exchange, std::shared_ptr<RouteTable const> routes, Route const& route, ClientAccount const* account, CallerRequest request);
+    virtual ~RequestHandler() = default;
+    RequestHandler(RequestHandler const&) = delete;
+    RequestHandler& operator=(RequestHandler const&) = delete;
+
+    asio::awaitable<void> run();
+
+protected:
+    enum class StopReason {
+        None,
+        CallerLeft,
+        OutOfTime,
+        /// The caller's key no longer belongs to an account.
+        KeyRevoked,
+        /// The request crashes upstreams.
+        Quarantined,
+    };
+
+    virtual asio::awaitable<void> forward_request() = 0;
+    /// Adds fields to the log line for the end of the request.
+    virtual void describe_end(LogLine&) const { }
+    /// Called once, when the request is stopped.
+    virtual void on_stop() { }
+
+    /// Stops the request if it may no longer be sent: since it was admitted, a new configuration may have revoked the caller's
+    /// key, or the request may have been quarantined for crashing upstreams of other VMs. Call right before a send.
+    void recheck_admission();
+
+    bool is_stopped() const { return this->stop_reason != StopReason::None; }
+    /// The connection to abort when the request is stopped.
+    void set_active_connection(std::shared_ptr<HttpConnection> connection) { this->active_connection = std::move(connection); }
+    Duration caller_time_left() const;
+    Duration time_left() const;
+
+    /// Responds that the request has not run and when to retry.
+    asio::awaitable<void> refuse(std::string_view reason, Duration retry_after);
+    /// Responds that the request may have run. Aborts the exchange if a response has already begun.
+    asio::awaitable<void> fail(int status, std::string_view reason);
+    /// Sends the final response of a stopped request, or none if the caller has left.
+    asio::awaitable<void> send_stopped_response();
+    /// Call when the request was completed without crashing its upstream.
+    void note_completed();
+    void log_end(std::string_view outcome, std::string_view reason, int status);
+
+    /// Whether the attempt limit, the deadline and the retry budget allow another send. If so, charges it to the budget.
+    SendHistory::AnotherSend take_another_send(std::int64_t sends_so_far, Duration minimum_time);
+
+    /// Whether the service's retry budget allows the send. If so, charges it.
+    bool try_pay(SendAccounting::Send send);
+
+    /// Call before any bytes of the request may be sent to an upstream; from then on it may have run.
+    void note_sent();
+    /// Call when that upstream states that it did not run the request.
+    void note_not_executed();
+
+    /// Records the rate limit that the upstream announced, or did not announce, in its response to this request.
+    void record_rate_limit(std::string_view upstream, ResponseInfo const& info, int status, MonotonicTime sent_at);
+
+    /// Takes a turn at an upstream that has announced a rate limit, and waits until the turn is due. Returns false if there is
+    /// none within the longest wait, or the request was stopped. The turn patience is how long the caller could wait before it
+    /// retries at the time that it is told.
+    asio::awaitable<bool> take_turn(std::string upstream, Duration longest_wait, Duration turn_patience);
+
+    /// Checks whether the upstream crashed while it had the request, and reports it if so: the connection was lost although the
+    /// upstream was not leaving, and nothing listens at its address any more. Stops the request if it is found to be the cause.
+    /// Returns whether the upstream crashed.
+    asio::awaitable<bool> report_crash(UpstreamRecord upstream, HttpError error, MonotonicTime since);
+
+    /// Whether the request may be served, and its data stored, in the data centre.
+    bool may_use_data_centre(std::string_view data_centre) const { return this->residency.allows(data_centre, this->state.regions); }
+
+    RouterState& state;
+    HttpExchange& exchange;
+    std::shared_ptr<RouteTable const> routes;
+    Route const& route;
+    CallerRequest request;
+    RequestFingerprint fingerprint;
+    std::string service;
+    /// Passed on to upstreams; empty for callers without an account.
+    std::string account;
+    std::shared_ptr<std::string const> body;
+    Residency residency;
+    SendAccounting ledger;
+    MonotonicTime deadline;
+    SendHistory::Earlier earlier = SendHistory::Earlier::HasNotRun;
+    int sends = 0;
+    /// Time until a turn may be free at one of the upstreams that denied one; empty if none did.
+    std::optional<Duration> next_turn;
+
+private:
+    void stop(StopReason reason);
+    void check_key();
+    /// Charges the request to its account's quota. Returns false, after sending a response, if the request is quarantined or
+    /// exceeds the quota.
+    asio::awaitable<bool> admit();
+    asio::awaitable<void> reject(int status, std::string_view reason, std::optional<Duration> retry_after);
+
+    StopReason stop_reason = StopReason::None;
+    SendHistory::Earlier earlier_before_send = SendHistory::Earlier::HasNotRun;
+    /// The account whose quota was charged. The key may belong to another account by the time that the request is sent.
+    std::string counted_account;
+    /// The amount to charge to the account's quota.
+    double quota_cost = 0;
+    std::shared_ptr<HttpConnection> active_connection;
+    asio::steady_timer deadline_timer;
+};
+
+}
--- a/Libraries/LibRouter/Entry.h
+++ b/Libraries/LibRouter/RequestRouter.h
@@ -8,10 +8,10 @@
 
 namespace Spurtide {
 
-/// Takes callers' requests: finds the route, reads what the request says of itself, and starts its flow.
-class Entry {
+/// Receives callers' requests: parses them, finds their routes and passes them to request handlers.
+class RequestRouter {
 public:
-    explicit Entry(RouterState& state)
+    explicit RequestRouter(RouterState& state)
         : state(state)
     {
     }
@@ -20,7 +20,7 @@
 
 private:
     ExpectedDuration expected_time(Route const& route, CallerRequest const& request) const;
-    asio::awaitable<void> answer(HttpExchange& exchange, int status, std::string_view reason, std::string identifier);
+    asio::awaitable<void> reject(HttpExchange& exchange, int status, std::string_view reason, std::string identifier);
 
     RouterState& state;
 };
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -3,29 +3,29 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/StreamFlow.h>
+#include <LibRouter/StreamingRequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 
 namespace Spurtide {
 
 namespace {
 
-/// Of the time to the first event: a caller that is refused within it can still be served in time elsewhere.
-constexpr double DECISION_SHARE = 0.22;
-/// Of the time that callers wait for an event before they leave.
-constexpr double CONTINUATION_SHARE = 0.7;
-/// Less is not worth a placement.
-constexpr Duration LEAST_TIME_FOR_PLACEMENT = milliseconds(200);
-/// Reading the longest prompts and the queue before them takes less.
-constexpr Duration PREFILL_PATIENCE = milliseconds(1200);
-constexpr int MOST_PLACEMENTS = 3;
-constexpr std::size_t LARGEST_PREFILL_ANSWER = 64UL * 1024;
+/// Share of the first event's latency target. A caller that is refused within it still has time to be served elsewhere.
+constexpr double DECISION_TIME_SHARE = 0.22;
+/// Share of the time that callers wait for an event before they disconnect.
+constexpr double FIRST_EVENT_WAIT_SHARE = 0.7;
+/// With less time left, a placement has little chance to succeed.
+constexpr Duration MINIMUM_TIME_FOR_PLACEMENT = milliseconds(200);
+/// Longer than the prefill of the longest prompts, including the queue ahead of them.
+constexpr Duration PREFILL_TIMEOUT = milliseconds(1200);
+constexpr int MAXIMUM_PLACEMENTS = 3;
+constexpr std::size_t MAXIMUM_SHORT_RESPONSE_BYTES = 64UL * 1024;
 constexpr Duration FREE_CACHE_TIMEOUT = milliseconds(500);
 constexpr Duration LOST_ENGINE_RETRY_AFTER = milliseconds(400);
 
 }
 
-std::string EventBoundary::take(std::string_view bytes)
+std::string EventStreamSplitter::append(std::string_view bytes)
 {
     this->pending += bytes;
     auto const end = this->pending.rfind("\n\n");
@@ -50,20 +50,20 @@
     return whole;
 }
 
-void StreamFlow::on_stop()
+void StreamingRequestHandler::on_stop()
 {
-    if (this->wait)
-        this->wait->give_up();
+    if (this->pending_ask)
+        this->pending_ask->give_up();
 }
 
-void StreamFlow::describe_end(LogLine& line) const
+void StreamingRequestHandler::describe_end(LogLine& line) const
 {
     line.with("visit", this->visit == CallerAttempt::Retry ? "return" : "first").with("placements", this->placements);
     if (this->first_event_after)
         line.with("first_event_ms", to_milliseconds(*this->first_event_after)).with("longest_pause_ms", to_milliseconds(this->longest_pause)).with("pause_target_ms", to_milliseconds(this->route.event_gap_target));
 }
 
-asio::awaitable<std::optional<PlacementDecision>> StreamFlow::place()
+asio::awaitable<std::optional<PlacementDecision>> StreamingRequestHandler::request_placement()
 {
     auto const& prompt = *this->request.prompt;
     PlacementAsk ask;
@@ -76,114 +76,115 @@
     ask.relayed_tokens = this->relayed_tokens();
     ask.priority = this->placement_priority();
     ask.excluded_engines = this->failed_engines;
-    this->add_unreachable(ask);
+    this->exclude_unreachable(ask);
     ask.data_centre = this->state.data_centre;
     ask.longest_pause = this->route.event_gap_target;
     ask.own_part = prompt.own_part;
-    this->wait = std::make_shared<PlacementClient::Ask>(this->state.loop.get_executor());
-    auto decision = co_await this->state.placement->ask(std::move(ask), this->wait, this->time_to_place());
-    this->wait.reset();
+    this->pending_ask = std::make_shared<PlacementClient::PendingAsk>(this->state.loop.get_executor());
+    auto decision = co_await this->state.placement->ask(std::move(ask), this->pending_ask, this->placement_times());
+    this->pending_ask.reset();
     if (decision)
         this->note_visit(*decision);
     co_return decision;
 }
 
-// An account's own rank goes before its routes'.
-std::int64_t StreamFlow::placement_priority() const
+// The account's priority takes precedence over the route's.
+std::int64_t StreamingRequestHandler::placement_priority() const
 {
     constexpr std::int64_t LARGEST = 1000;
     auto const* book = this->routes->configuration().accounts.get();
     auto const* found = book ? book->find_by_name(this->account) : nullptr;
-    auto const of_account = found ? std::clamp<std::int64_t>(found->priority, 0, LARGEST) : 0;
-    return -of_account * LARGEST - std::clamp<std::int64_t>(this->route.priority, 0, LARGEST - 1);
+    auto const account_priority = found ? std::clamp<std::int64_t>(found->priority, 0, LARGEST) : 0;
+    return -account_priority * LARGEST - std::clamp<std::int64_t>(this->route.priority, 0, LARGEST - 1);
 }
 
-void StreamFlow::note_visit(PlacementDecision const& decision)
+void StreamingRequestHandler::note_visit(PlacementDecision const& decision)
 {
-    // What was found out at the first placement holds on for the next.
+    // The first placement determines whether the caller is returning; later ones keep the result.
     if (this->placements == 0)
         this->visit = std::visit([](auto const& either) { return either.caller_attempt; }, decision);
 }
 
-PlacementClient::AskTimes StreamFlow::time_to_place() const
+PlacementClient::AskTimes StreamingRequestHandler::placement_times() const
 {
     auto const age = std::chrono::duration_cast<Duration>(monotonic_now() - this->exchange.received_at());
-    auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * CONTINUATION_SHARE);
-    PlacementClient::AskTimes within;
+    auto const patience = from_seconds(to_seconds(this->route.first_event_patience) * FIRST_EVENT_WAIT_SHARE);
+    PlacementClient::AskTimes times;
     if (this->placements > 0) {
-        // It was placed before: refused now it is lost, and an answer that is late, or goes on after a pause, is not.
+        // The request has been placed before. Refusing it now would lose it, whereas the caller still accepts a response that is
+        // late or that resumes after a pause.
         auto const spent = this->exchange.has_begun() ? std::chrono::duration_cast<Duration>(monotonic_now() - this->last_event_at) : age;
-        within.first_token_within = patience - spent;
-        within.decide_within = within.first_token_within;
+        times.first_token_within = patience - spent;
+        times.decide_within = times.first_token_within;
     } else {
-        within.first_token_within = this->route.latency_target - age;
-        within.decide_within = from_seconds(to_seconds(this->route.latency_target) * DECISION_SHARE) - age;
-        within.late_within = patience - age;
+        times.first_token_within = this->route.latency_target - age;
+        times.decide_within = from_seconds(to_seconds(this->route.latency_target) * DECISION_TIME_SHARE) - age;
+        times.late_within = patience - age;
     }
-    within.decide_within = std::max(within.decide_within, milliseconds(20));
-    return within;
+    times.decide_within = std::max(times.decide_within, milliseconds(20));
+    return times;
 }
 
-// The keeper may reach engines that this VM does not, and does not know where the request has to stay. A data centre that is
-// out of reach is named as a whole: it may have thousands of engines.
-void StreamFlow::add_unreachable(PlacementAsk& ask) const
+// The keeper may reach engines that this VM cannot, and does not know which data centres the request is restricted to. A data
+// centre is excluded as a whole, since it may have thousands of engines.
+void StreamingRequestHandler::exclude_unreachable(PlacementAsk& ask) const
 {
     auto const now = monotonic_now();
-    std::map<std::string_view, bool> is_out;
+    std::map<std::string_view, bool> is_excluded;
     this->state.upstreams.for_each([&](UpstreamRecord const& record) {
         if (record.service != this->service)
             return;
-        auto const [known, is_new] = is_out.try_emplace(record.data_centre, false);
+        auto const [known, is_new] = is_excluded.try_emplace(record.data_centre, false);
         if (is_new)
-            known->second = !this->may_go_to(record.data_centre) || this->state.reachability->is_cut_off(record.data_centre, now);
+            known->second = !this->may_use_data_centre(record.data_centre) || this->state.reachability->is_cut_off(record.data_centre, now);
         bool const is_paused = this->state.limiter->pause_left(record.identity, now) > Duration::zero();
         if (!known->second && (is_paused || !this->state.reachability->is_reachable(record.identity, record.data_centre, now)))
             ask.excluded_engines.push_back(record.identity);
     });
-    for (auto const& [data_centre, out] : is_out) {
-        if (out)
+    for (auto const& [data_centre, excluded] : is_excluded) {
+        if (excluded)
             ask.excluded_data_centres.emplace_back(data_centre);
     }
 }
 
-asio::awaitable<void> StreamFlow::carry()
+asio::awaitable<void> StreamingRequestHandler::forward_request()
 {
     while (true) {
-        auto const decision = co_await this->place();
+        auto const decision = co_await this->request_placement();
         if (this->is_stopped() || !decision) {
             this->release();
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         if (auto const* refusal = std::get_if<PlacementRefusal>(&*decision)) {
-            co_await this->answer_refusal(*refusal);
+            co_await this->respond_to_refusal(*refusal);
             co_return;
         }
         auto const& grant = std::get<PlacementGrant>(*decision);
-        bool const has_turns = co_await this->take_turns(grant);
+        bool const has_turns = co_await this->take_engine_turns(grant);
         if (!has_turns) {
             this->release();
             if (!this->is_stopped())
                 continue;
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
         ++this->placements;
-        auto const progress = co_await this->use(grant);
+        auto const outcome = co_await this->run_placement(grant);
         this->release();
         if (!this->failed_engine.empty())
             this->failed_engines.push_back(std::exchange(this->failed_engine, {}));
         this->refusing_engines.clear();
-        if (progress == Progress::Over)
+        if (outcome == PlacementOutcome::Finished)
             co_return;
         if (this->is_stopped()) {
-            co_await this->answer_stopped();
+            co_await this->send_stopped_response();
             co_return;
         }
     }
 }
 
-asio::awaitable<bool> StreamFlow::take_turns(PlacementGrant grant)
+asio::awaitable<bool> StreamingRequestHandler::take_engine_turns(PlacementGrant grant)
 {
     std::vector<std::string> engines { grant.decode_engine };
     if (!grant.prefill_engine.empty())
@@ -200,13 +201,13 @@
     co_return true;
 }
 
-asio::awaitable<void> StreamFlow::answer_refusal(PlacementRefusal refusal)
+asio::awaitable<void> StreamingRequestHandler::respond_to_refusal(PlacementRefusal refusal)
 {
-    bool const is_nowhere = refusal.reason == RefusalReason::NoUpstream;
+    bool const has_no_upstream = refusal.reason == RefusalReason::NoUpstream;
     std::string reason(to_string(refusal.reason));
-    if (is_nowhere && this->residency.is_restricted())
+    if (has_no_upstream && this->residency.is_restricted())
         reason = "no_upstream_in_home_regions";
-    if (is_nowhere && this->next_turn)
+    if (has_no_upstream && this->next_turn)
         reason = "upstreams_limited";
     if (this->earlier == SendHistory::Earlier::MayHaveRun)
         co_await this->fail(502, reason);
@@ -214,25 +215,25 @@
         co_await this->refuse(reason, std::min(refusal.retry_after, this->next_turn.value_or(refusal.retry_after)));
 }
 
-std::int64_t StreamFlow::relayed_tokens() const
+std::int64_t StreamingRequestHandler::relayed_tokens() const
 {
     auto const* traits = this->routes->service(this->service);
     return this->events.event_count() * (traits && traits->engine ? traits->engine->tokens_per_event : 1);
 }
 
-void StreamFlow::release()
+void StreamingRequestHandler::release()
 {
     this->state.placement->release(this->request.identifier, this->relayed_tokens(), { this->failed_engine, this->refusing_engines });
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::use(PlacementGrant grant)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::run_placement(PlacementGrant grant)
 {
     auto const* prefill_engine = this->state.upstreams.find(grant.prefill_engine);
     auto const* decode_engine = this->state.upstreams.find(grant.decode_engine);
     if (!decode_engine || (!grant.prefill_engine.empty() && !prefill_engine)) {
-        // The keeper knows an engine that this VM has not heard of, or not any more.
+        // The keeper's upstream list differs from this VM's.
         this->failed_engines.push_back(decode_engine ? grant.prefill_engine : grant.decode_engine);
-        co_return co_await this->give_up(SendOutcome::NotSent, "unknown_engine");
+        co_return co_await this->retry_or_fail(SendOutcome::NotSent, "unknown_engine");
     }
     this->last_engine = grant.decode_engine;
     Dispatch dispatch;
@@ -240,30 +241,30 @@
     UpstreamRecord const decoder = *decode_engine;
     auto const decode_address = parse_address(decoder.address);
     if (!decode_address)
-        co_return co_await this->give_up(SendOutcome::NotSent, "bad_address");
-    // A prompt that is read before the decode engine turns out to be away is read for nothing.
+        co_return co_await this->retry_or_fail(SendOutcome::NotSent, "bad_address");
+    // Check that the decode engine accepts connections before the prefill, which would be wasted otherwise.
     auto reserved = co_await this->state.pool.acquire(*decode_address, this->freshness());
     if (!reserved.is_error())
         this->state.pool.put_back_unused(*decode_address, reserved.value());
     if (this->is_stopped())
-        co_return Progress::TryAgain;
+        co_return PlacementOutcome::Retry;
     if (reserved.is_error()) {
         this->state.prober.note_unreachable(decoder, reserved.error());
         this->failed_engine = decoder.identity;
-        co_return co_await this->give_up(SendOutcome::NotSent, to_string(reserved.error()));
+        co_return co_await this->retry_or_fail(SendOutcome::NotSent, to_string(reserved.error()));
     }
     if (prefill_engine) {
         if (!this->try_pay(SendAccounting::Send::Prefill))
-            co_return co_await this->give_up(SendOutcome::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
+            co_return co_await this->retry_or_fail(SendOutcome::NotSent, "retry_budget_spent", SendHistory::AnotherSend::Spent);
         UpstreamRecord const prefiller = *prefill_engine;
         auto cache = co_await this->prefill(prefiller);
         if (this->is_stopped()) {
             if (cache)
                 this->free_cache(prefiller.address, cache->handle);
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         }
         if (!cache)
-            co_return co_await this->give_up(SendOutcome::NotSent, "prefill_failed");
+            co_return co_await this->retry_or_fail(SendOutcome::NotSent, "prefill_failed");
         this->state.placement->progress(this->request.identifier, GrantProgress::CacheHeld);
         dispatch.stage = DispatchStage::Decode;
         dispatch.cache_address = prefiller.address;
@@ -273,12 +274,12 @@
     co_return co_await this->decode(decoder, *decode_address, std::move(dispatch));
 }
 
-ConnectionPool::Freshness StreamFlow::freshness() const
+ConnectionPool::Freshness StreamingRequestHandler::freshness() const
 {
     return this->route.is_resumable ? ConnectionPool::Freshness::Any : ConnectionPool::Freshness::Recent;
 }
 
-asio::awaitable<std::optional<HeldCache>> StreamFlow::prefill(UpstreamRecord engine)
+asio::awaitable<std::optional<PrefillCache>> StreamingRequestHandler::prefill(UpstreamRecord engine)
 {
     auto const begun = monotonic_now();
     auto const address = parse_address(engine.address);
@@ -294,7 +295,7 @@
         co_return std::nullopt;
     }
     auto const connection = acquired.release_value();
-    this->check_may_send();
+    this->recheck_admission();
     if (this->is_stopped() || !this->state.upstreams.takes_work(engine.identity)) {
         this->state.pool.release(*address, connection);
         if (!this->is_stopped())
@@ -305,47 +306,47 @@
     dispatch.stage = DispatchStage::Prefill;
     dispatch.expected_identity = engine.identity;
     dispatch.account = this->account;
-    dispatch.patience = std::min(this->patience_left(), this->time_left());
+    dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
-    this->set_active(connection);
-    connection->set_deadline(monotonic_now() + PREFILL_PATIENCE);
+    this->set_active_connection(connection);
+    connection->set_deadline(monotonic_now() + PREFILL_TIMEOUT);
     this->state.metrics.increment("spurtide_sends_total", "Requests sent to upstreams", { { "service", this->service }, { "stage", "prefill" } });
-    std::optional<UpstreamUse> use(std::in_place, this->state.prober, engine, connection, UpstreamUse::OutOfReach::BreakOff);
-    connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
+    std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, InFlightRequest::WhenUnreachable::Abort);
+    connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     std::string reason = head.is_error() ? std::string(to_string(head.error())) : "status_" + std::to_string(head.value().status);
-    std::optional<HeldCache> cache;
-    bool works_as_it_should = false;
+    std::optional<PrefillCache> cache;
+    bool is_engine_healthy = false;
     if (!head.is_error()) {
-        auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
-        auto const facts = this->state.dialect.read_answer(head.value());
-        this->note_limit(engine.identity, facts, head.value().status, use->began_at());
-        bool const is_its_answer = facts.identifier.empty() || facts.identifier == this->request.identifier;
-        if (answer.is_error() || !is_its_answer) {
+        auto response_body = co_await connection->read_body(MAXIMUM_SHORT_RESPONSE_BYTES);
+        auto const info = this->state.dialect.read_response(head.value());
+        this->record_rate_limit(engine.identity, info, head.value().status, in_flight->send_time());
+        bool const is_matching_response = info.identifier.empty() || info.identifier == this->request.identifier;
+        if (response_body.is_error() || !is_matching_response) {
             connection->abort();
-            reason = answer.is_error() ? std::string(to_string(answer.error())) : "answer_of_another_request";
+            reason = response_body.is_error() ? std::string(to_string(response_body.error())) : "answer_of_another_request";
         } else if (head.value().status == 200) {
-            auto held = this->state.dialect.read_held_cache(answer.value());
-            if (held.is_error())
+            auto parsed_cache = this->state.dialect.read_prefill_cache(response_body.value());
+            if (parsed_cache.is_error())
                 reason = "malformed";
             else
-                cache = held.release_value();
+                cache = parsed_cache.release_value();
         }
-        // An engine that is full or has begun to leave works as it should.
-        works_as_it_should = facts.is_not_executed;
+        // An engine that refuses because it is full or leaving is healthy.
+        is_engine_healthy = info.is_not_executed;
     }
     if (head.is_error())
         static_cast<void>(co_await this->report_crash(engine, head.error(), begun));
     this->ledger.note_prefill(cache ? SendAccounting::PrefillOutcome::Accepted : SendAccounting::PrefillOutcome::NotAccepted, monotonic_now());
     if (!head.is_error())
-        use->note_heard();
-    use.reset();
-    this->set_active(nullptr);
+        in_flight->note_received();
+    in_flight.reset();
+    this->set_active_connection(nullptr);
     this->state.pool.release(*address, connection);
-    // What the caller or the clock cut off says nothing of the engine.
+    // A request that was stopped on our side says nothing about the engine's health.
     if (!cache && !this->is_stopped()) {
-        if (works_as_it_should) {
-            // It is full, leaves or changes its role, and being idle it would be chosen again and again.
+        if (is_engine_healthy) {
+            // It is full, leaving or changing its role. If it looks idle, the keeper would choose it again and again.
             this->failed_engines.push_back(engine.identity);
             this->refusing_engines = { engine.identity };
         } else
@@ -359,91 +360,91 @@
     co_return cache;
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::decode(UpstreamRecord engine, Address address, Dispatch dispatch)
 {
     auto acquired = co_await this->state.pool.acquire(address, this->freshness());
-    this->check_may_send();
+    this->recheck_admission();
     if (acquired.is_error() || this->is_stopped() || !this->state.upstreams.takes_work(engine.identity)) {
         if (!dispatch.cache_handle.empty())
             this->free_cache(dispatch.cache_address, dispatch.cache_handle);
         if (acquired.is_error()) {
             this->state.prober.note_unreachable(engine, acquired.error());
             this->failed_engine = engine.identity;
-            co_return co_await this->give_up(SendOutcome::NotSent, to_string(acquired.error()));
+            co_return co_await this->retry_or_fail(SendOutcome::NotSent, to_string(acquired.error()));
         }
         this->state.pool.release(address, acquired.value());
         if (this->is_stopped())
-            co_return Progress::TryAgain;
-        co_return co_await this->give_up(SendOutcome::NotSent, "upstream_left");
+            co_return PlacementOutcome::Retry;
+        co_return co_await this->retry_or_fail(SendOutcome::NotSent, "upstream_left");
     }
     auto const connection = acquired.release_value();
     dispatch.account = this->account;
-    dispatch.patience = std::min(this->patience_left(), this->time_left());
+    dispatch.remaining_time = std::min(this->caller_time_left(), this->time_left());
     dispatch.after_event = this->events.last_identifier();
-    this->set_active(connection);
+    this->set_active_connection(connection);
     this->note_sent();
-    auto const out_of_reach = this->route.is_resumable ? UpstreamUse::OutOfReach::BreakOff : UpstreamUse::OutOfReach::Wait;
-    std::optional<UpstreamUse> use(std::in_place, this->state.prober, engine, connection, out_of_reach);
-    connection->send(format_request_head(this->state.dialect.upstream_head(this->exchange.request(), dispatch)), this->body);
+    auto const when_unreachable = this->route.is_resumable ? InFlightRequest::WhenUnreachable::Abort : InFlightRequest::WhenUnreachable::Wait;
+    std::optional<InFlightRequest> in_flight(std::in_place, this->state.prober, engine, connection, when_unreachable);
+    connection->send(format_request_head(this->state.dialect.upstream_request_head(this->exchange.request(), dispatch)), this->body);
     auto head = co_await connection->read_head();
     if (head.is_error()) {
-        auto const began = use->began_at();
-        use.reset();
-        this->set_active(nullptr);
+        auto const sent_at = in_flight->send_time();
+        in_flight.reset();
+        this->set_active_connection(nullptr);
         connection->abort();
         if (this->is_stopped())
-            co_return Progress::TryAgain;
-        static_cast<void>(co_await this->report_crash(engine, head.error(), began));
+            co_return PlacementOutcome::Retry;
+        static_cast<void>(co_await this->report_crash(engine, head.error(), sent_at));
         if (this->is_stopped())
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         this->failed_engine = engine.identity;
-        co_return co_await this->give_up(SendOutcome::Lost, to_string(head.error()));
+        co_return co_await this->retry_or_fail(SendOutcome::Lost, to_string(head.error()));
     }
-    use->note_heard();
-    auto const facts = this->state.dialect.read_answer(head.value());
+    in_flight->note_received();
+    auto const info = this->state.dialect.read_response(head.value());
     auto const status = head.value().status;
-    this->note_limit(engine.identity, facts, status, use->began_at());
-    if (facts.identifier == this->request.identifier && status / 100 == 2 && facts.is_signed && !facts.is_encoded) {
+    this->record_rate_limit(engine.identity, info, status, in_flight->send_time());
+    if (info.identifier == this->request.identifier && status / 100 == 2 && info.is_signed && !info.is_encoded) {
         this->state.placement->progress(this->request.identifier, GrantProgress::Decoding);
-        auto const progress = co_await this->relay(*use, connection, head.release_value());
-        use.reset();
-        this->set_active(nullptr);
+        auto const outcome = co_await this->relay_stream(*in_flight, connection, head.release_value());
+        in_flight.reset();
+        this->set_active_connection(nullptr);
         this->state.pool.release(address, connection);
-        co_return progress;
+        co_return outcome;
     }
-    auto answer = co_await connection->read_body(LARGEST_PREFILL_ANSWER);
-    use.reset();
-    this->set_active(nullptr);
-    if (answer.is_error())
+    auto response_body = co_await connection->read_body(MAXIMUM_SHORT_RESPONSE_BYTES);
+    in_flight.reset();
+    this->set_active_connection(nullptr);
+    if (response_body.is_error())
         connection->abort();
     this->state.pool.release(address, connection);
     auto const reason = "decode_status_" + std::to_string(status);
-    if (facts.is_not_executed || status == 421) {
+    if (info.is_not_executed || status == 421) {
         this->note_not_executed();
         if (!dispatch.cache_handle.empty())
             this->free_cache(dispatch.cache_address, dispatch.cache_handle);
         if (this->is_stopped())
-            co_return Progress::TryAgain;
+            co_return PlacementOutcome::Retry;
         this->failed_engines.push_back(engine.identity);
         this->refusing_engines = { engine.identity };
         if (!dispatch.cache_holder.empty())
             this->refusing_engines.push_back(dispatch.cache_holder);
-        co_return co_await this->give_up(SendOutcome::NotExecuted, reason);
+        co_return co_await this->retry_or_fail(SendOutcome::NotExecuted, reason);
     }
     if (this->is_stopped())
-        co_return Progress::TryAgain;
-    bool const is_own_failure = facts.is_signed && facts.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !answer.is_error();
+        co_return PlacementOutcome::Retry;
+    bool const is_own_failure = info.is_signed && info.identifier == this->request.identifier && status >= 400 && status != 429 && status != 503 && status != 408 && !response_body.is_error();
     if (is_own_failure && !this->exchange.has_begun()) {
         this->note_completed();
-        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_head(head.value()), answer.value());
+        auto const sent = co_await this->exchange.respond(this->state.dialect.caller_response_head(head.value()), response_body.value());
         this->log_end(sent.is_error() ? "caller_left" : "answered", reason, status);
-        co_return Progress::Over;
+        co_return PlacementOutcome::Finished;
     }
     this->failed_engine = engine.identity;
-    co_return co_await this->give_up(SendOutcome::Lost, reason);
+    co_return co_await this->retry_or_fail(SendOutcome::Lost, reason);
 }
 
-void StreamFlow::note_event(MonotonicTime now)
+void StreamingRequestHandler::note_event(MonotonicTime now)
 {
     if (this->exchange.has_begun())
         this->longest_pause = std::max(this->longest_pause, std::chrono::duration_cast<Duration>(now - this->last_event_at));
@@ -455,44 +456,44 @@
     this->last_event_at = now;
 }
 
-asio::awaitable<StreamFlow::Progress> StreamFlow::relay(UpstreamUse& use, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::relay_stream(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head)
 {
     while (true) {
         auto piece = co_await connection->read_piece();
         if (piece.is_error()) {
             connection->abort();
-            this->events.drop_broken_event();
+            this->events.discard_partial_event();
             if (this->is_stopped())
-                co_return Progress::TryAgain;
-            bool const has_crashed = co_await this->report_crash(use.upstream(), piece.error(), use.began_at());
+                co_return PlacementOutcome::Retry;
+            bool const has_crashed = co_await this->report_crash(in_flight.upstream(), piece.error(), in_flight.send_time());
             if (this->is_stopped())
-                co_return Progress::TryAgain;
-            // One answer that broke off says little of the engine, but this request goes on elsewhere. Of one that is gone
-            // the keeper hears at once, which else would give it out until its entry lapses.
+                co_return PlacementOutcome::Retry;
+            // A single interrupted stream says little about the engine's health, so it is only excluded for this request. A
+            // crashed engine is reported to the keeper, which otherwise would assign it until its list entry expires.
             if (has_crashed)
-                this->failed_engine = use.identity();
+                this->failed_engine = in_flight.identity();
             else
-                this->failed_engines.push_back(use.identity());
-            co_return co_await this->give_up(SendOutcome::Lost, to_string(piece.error()));
+                this->failed_engines.push_back(in_flight.identity());
+            co_return co_await this->retry_or_fail(SendOutcome::Lost, to_string(piece.error()));
         }
         this->note_event(monotonic_now());
-        use.note_heard();
+        in_flight.note_received();
         bool const is_end = piece.value().empty();
-        auto bytes = this->events.take(piece.value());
-        // A stream that cannot go on elsewhere need not wait for the end of an event.
+        auto bytes = this->events.append(piece.value());
+        // Partial events only have to be withheld from streams that can be resumed on another engine.
         if (!this->route.is_resumable || is_end)
-            bytes += this->events.rest();
+            bytes += this->events.take_remainder();
         if (!this->exchange.has_begun()) {
             auto const framing = connection->framing() == BodyFraming::UntilClose ? BodyFraming::UntilClose : BodyFraming::Chunked;
-            auto const begun = co_await this->exchange.begin(this->state.dialect.caller_head(head), framing);
+            auto const begun = co_await this->exchange.begin(this->state.dialect.caller_response_head(head), framing);
             if (begun.is_error())
-                co_return Progress::TryAgain;
+                co_return PlacementOutcome::Retry;
         }
         auto const written = co_await this->exchange.write(bytes);
         if (written.is_error()) {
             connection->abort();
             this->log_end("caller_left", "write_failed", 0);
-            co_return Progress::Over;
+            co_return PlacementOutcome::Finished;
         }
         if (!is_end)
             continue;
@@ -501,42 +502,41 @@
         auto const finished = co_await this->exchange.finish();
         this->log_end(finished.is_error() ? "caller_left" : "answered", "stream", head.status);
         this->state.metrics.observe_seconds("spurtide_longest_pause_seconds", "Longest pause between events of a stream that ended whole", to_seconds(this->longest_pause));
-        co_return Progress::Over;
+        co_return PlacementOutcome::Finished;
     }
 }
 
-// What follows a send that brought no answer.
-asio::awaitable<StreamFlow::Progress> StreamFlow::give_up(SendOutcome end, std::string_view reason, SendHistory::AnotherSend wanted)
+asio::awaitable<StreamingRequestHandler::PlacementOutcome> StreamingRequestHandler::retry_or_fail(SendOutcome end, std::string_view reason, SendHistory::AnotherSend allowed_send)
 {
-    // A stream that may go on behind its last event may be sent again, like a call that may be repeated.
+    // A stream that can be resumed after its last event may be sent again, like a repeatable unary request.
     auto const kind = this->route.is_resumable ? RouteKind::Repeatable : RouteKind::NotRepeatable;
     SendHistory history { kind, this->earlier, SendHistory::AnotherSend::Spent };
-    bool const may_go_on = wanted == SendHistory::AnotherSend::Allowed && this->placements < MOST_PLACEMENTS;
-    // What was not sent is no attempt, but a prefill that was refused has arrived.
+    bool const may_go_on = allowed_send == SendHistory::AnotherSend::Allowed && this->placements < MAXIMUM_PLACEMENTS;
+    // An unsent request does not count as an attempt, but its refused prefill is charged to the retry budget.
     if (may_go_on)
-        history.another_send = this->take_another_send(end == SendOutcome::NotSent ? 0 : this->sends, LEAST_TIME_FOR_PLACEMENT);
+        history.another_send = this->take_another_send(end == SendOutcome::NotSent ? 0 : this->sends, MINIMUM_TIME_FOR_PLACEMENT);
     auto const step = next_step(end, history);
     LogLine("send_end").with("request", this->request.identifier).with("upstream", this->last_engine).with("end", to_string(end)).with("reason", reason).with("next", to_string(step));
     if (step == NextStep::SendElsewhere)
-        co_return Progress::TryAgain;
+        co_return PlacementOutcome::Retry;
     if (step == NextStep::RefuseNotRun && !this->exchange.has_begun())
         co_await this->refuse(reason, LOST_ENGINE_RETRY_AFTER);
     else
         co_await this->fail(502, reason);
-    co_return Progress::Over;
+    co_return PlacementOutcome::Finished;
 }
 
-void StreamFlow::free_cache(std::string const& engine_address, std::string const& handle)
+void StreamingRequestHandler::free_cache(std::string const& engine_address, std::string const& handle)
 {
     auto const free = [](RouterState& state, std::string address_text, std::string cache) -> asio::awaitable<void> {
         auto const address = parse_address(address_text);
         if (!address)
             co_return;
-        HttpRequest request { state.dialect.free_cache_head(address_text, cache), {} };
+        HttpRequest request { state.dialect.free_cache_request_head(address_text, cache), {} };
         ConnectionPool::Call options;
         options.timeout = FREE_CACHE_TIMEOUT;
-        options.largest_body = LARGEST_PREFILL_ANSWER;
-        // NOTE: Where this fails the engine frees the cache itself when its hold time is over.
+        options.largest_body = MAXIMUM_SHORT_RESPONSE_BYTES;
+        // NOTE: If this fails, the engine frees the cache itself when its hold time expires.
         static_cast<void>(co_await state.pool.call(*address, std::move(request), std::move(options)));
     };
     asio::co_spawn(this->state.loop, free(this->state, engine_address, handle), asio::detached);
--- /dev/null
+++ b/Libraries/LibRouter/StreamingRequestHandler.h
@@ -0,0 +1,86 @@
+// SPDX-FileCopyrightText: 2026 The Spurtide developers
+// SPDX-License-Identifier: BSD-2-Clause
+
+#pragma once
+
+#include <LibRouter/InFlightRequest.h>
+#include <LibRouter/PlacementClient.h>
+#include <LibRouter/RequestHandler.h>
+
+namespace Spurtide {
+
+/// Splits an event stream at event boundaries, counts the events and tracks the last event id.
+class EventStreamSplitter {
+public:
+    /// Appends received bytes and returns all bytes up to the end of the last complete event.
+    std::string append(std::string_view bytes);
+    /// Removes and returns the bytes after the last complete event.
+    std::string take_remainder() { return std::exchange(this->pending, {}); }
+    /// Drops the bytes of an incomplete event after its connection was lost; the resumed stream sends the event again.
+    void discard_partial_event() { this->pending.clear(); }
+    std::int64_t event_count() const { return this->events; }
+    std::string const& last_identifier() const { return this->last_id; }
+
+private:
+    std::string pending;
+    std::int64_t events = 0;
+    std::string last_id;
+};
+
+/// Handles a model request: obtains a placement first, then has the prompt processed by a prefill engine and the output
+/// streamed by a decode engine. A placement without a prefill engine leaves both to the decode engine.
+class StreamingRequestHandler final : public RequestHandler {
+public:
+    using RequestHandler::RequestHandler;
+
+private:
+    asio::awaitable<void> forward_request() override;
+    void on_stop() override;
+    void describe_end(LogLine& line) const override;
+
+    enum class PlacementOutcome {
+        /// The response has ended, complete or not.
+        Finished,
+        /// Another placement may be requested.
+        Retry,
+    };
+
+    PlacementClient::AskTimes placement_times() const;
+    std::int64_t placement_priority() const;
+    void note_visit(PlacementDecision const& decision);
+    asio::awaitable<std::optional<PlacementDecision>> request_placement();
+    /// Runs the request on the engines of a grant.
+    asio::awaitable<PlacementOutcome> run_placement(PlacementGrant grant);
+    asio::awaitable<std::optional<PrefillCache>> prefill(UpstreamRecord engine);
+    asio::awaitable<PlacementOutcome> decode(UpstreamRecord engine, Address address, Dispatch dispatch);
+    void note_event(MonotonicTime now);
+    asio::awaitable<PlacementOutcome> relay_stream(InFlightRequest& in_flight, std::shared_ptr<HttpConnection> connection, HttpResponseHead head);
+    void exclude_unreachable(PlacementAsk& ask) const;
+    /// Takes a turn at each engine of the grant that has announced a rate limit. Returns false if one of them has none for now;
+    /// that engine is excluded from further placements.
+    asio::awaitable<bool> take_engine_turns(PlacementGrant grant);
+    asio::awaitable<void> respond_to_refusal(PlacementRefusal refusal);
+    /// Returns Retry if another send is allowed. Otherwise sends the final response.
+    asio::awaitable<PlacementOutcome> retry_or_fail(SendOutcome end, std::string_view reason, SendHistory::AnotherSend allowed_send = SendHistory::AnotherSend::Allowed);
+    void free_cache(std::string const& address, std::string const& handle);
+    ConnectionPool::Freshness freshness() const;
+    void release();
+    /// Number of output tokens received so far.
+    std::int64_t relayed_tokens() const;
+
+    std::shared_ptr<PlacementClient::PendingAsk> pending_ask;
+    /// Decode engine of the current placement.
+    std::string last_engine;
+    std::vector<std::string> failed_engines;
+    std::string failed_engine;
+    std::vector<std::string> refusing_engines;
+    EventStreamSplitter events;
+    CallerAttempt visit = CallerAttempt::First;
+    std::optional<Duration> first_event_after;
+    MonotonicTime first_event_at;
+    MonotonicTime last_event_at;
+    Duration longest_pause {};
+    int placements = 0;
+};
+
+}
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -52,7 +52,7 @@
     options.policy.last_resort = SchedulerPolicy::LastResort::On;
     options.policy.backfill = SchedulerPolicy::Backfill::On;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    options.stale_grant_timeout = PlacementClient::Options {}.renewal * RENEWALS_MISSED + RENEWAL_MARGIN;
+    options.stale_grant_timeout = PlacementClient::Options {}.renewal_interval * RENEWALS_MISSED + RENEWAL_MARGIN;
     options.cache_hold = milliseconds(500);
     // In the order of what engines of today take; measured from the first answers on.
     options.initial_step_time = milliseconds(1);
@@ -74,7 +74,7 @@
     , settings(std::move(node_settings))
     , adapters(std::move(node_adapters))
     , state { .loop = loop, .dialect = this->adapters.dialect, .metrics = this->metrics, .data_centre = this->settings.data_centre, .regions = this->settings.regions, .retry_options = this->settings.retry, .length_spread = this->settings.length_spread }
-    , entry(this->state)
+    , request_router(this->state)
     , started_at(monotonic_now())
     , stop_timer(loop)
 {
@@ -127,12 +127,12 @@
     this->create_quota();
     this->create_quarantine();
     this->create_limiter();
-    this->keeper = std::make_unique<EngineKeeper>(scheduler_options(this->settings), *this->kernel, this->metrics, this->loop);
-    CacheReader::Hooks cache_hooks;
-    cache_hooks.is_keeper = [this] { return this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
-    cache_hooks.is_used = [this](auto engine) { return this->keeper->works_with(engine); };
-    cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->keeper->note_cached(engine, own_parts); };
-    this->cache_reader = std::make_unique<CacheReader>(CacheReader::Options {}, this->state, std::move(cache_hooks));
+    this->placement_service = std::make_unique<PlacementService>(scheduler_options(this->settings), *this->kernel, this->metrics, this->loop);
+    PromptCacheFetcher::Hooks prompt_cache_hooks;
+    prompt_cache_hooks.is_keeper = [this] { return this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
+    prompt_cache_hooks.is_used = [this](auto engine) { return this->placement_service->uses_engine(engine); };
+    prompt_cache_hooks.on_cached = [this](auto engine, auto own_parts) { this->placement_service->note_cached(engine, own_parts); };
+    this->prompt_cache_fetcher = std::make_unique<PromptCacheFetcher>(PromptCacheFetcher::Options {}, this->state, std::move(prompt_cache_hooks));
     this->state.placement = this->placement.get();
     this->state.sending_machines = [this] { return this->membership->sending_machines(); };
     this->state.retry_allowance_part = [this] { return this->retry_allowance_part(); };
@@ -144,7 +144,7 @@
     };
     this->host_services();
 
-    auto callers_server = HttpServer::create(this->loop, this->settings.caller_address, [this](auto& exchange) { return this->entry.handle(exchange); });
+    auto callers_server = HttpServer::create(this->loop, this->settings.caller_address, [this](auto& exchange) { return this->request_router.handle(exchange); });
     if (callers_server.is_error())
         return Failure { NodeStartError::CannotListenForCallers };
     this->callers = callers_server.release_value();
@@ -166,10 +166,10 @@
     this->placement->start();
     this->quota->start();
     this->quarantine->start();
-    this->keeper->start();
+    this->placement_service->start();
     if (this->roles)
         this->roles->start();
-    this->cache_reader->start();
+    this->prompt_cache_fetcher->start();
     this->follower->start();
     this->kernel->every(seconds(1), [this] { this->every_second(); });
     this->kernel->every(LAPSE_CHECK, [this] { this->drop_lapsed(); });
@@ -182,13 +182,13 @@
     options.lease.length = std::max(this->settings.lease_time, SHORTEST_LEASE);
     RoleKeeper::Hooks hooks;
     hooks.is_keeper = [this] { return !this->is_stopping && this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
-    hooks.engine_states = [this] { return this->keeper->engine_states(); };
+    hooks.engine_states = [this] { return this->placement_service->engine_states(); };
     hooks.on_change = [this] { this->engines_changed(); };
     this->roles = std::make_unique<RoleKeeper>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
-    EngineKeeper::Hooks keeper_hooks;
-    keeper_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
-    keeper_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
-    this->keeper->set_hooks(std::move(keeper_hooks));
+    PlacementService::Hooks placement_hooks;
+    placement_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
+    placement_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
+    this->placement_service->set_hooks(std::move(placement_hooks));
 }
 
 std::size_t Node::live_virtual_machines() const
@@ -267,7 +267,7 @@
         respond(error_reply(wire::ERROR_CODE_UNKNOWN_MESSAGE));
     });
     this->relay->host();
-    this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->keeper->handle(request, respond); });
+    this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->placement_service->handle(request, respond); });
     this->quota_counter->host();
     this->limit_counter->host();
     this->crash_reporter->host();
@@ -355,7 +355,7 @@
 void Node::adopt_accounts()
 {
     auto const& book = this->state.routes->configuration().accounts;
-    this->keeper->set_accounts(book ? std::span<ClientAccount const>(book->accounts()) : std::span<ClientAccount const>());
+    this->placement_service->set_accounts(book ? std::span<ClientAccount const>(book->accounts()) : std::span<ClientAccount const>());
     if (book)
         this->quota_counter->retain(*book);
 }
@@ -385,7 +385,7 @@
 void Node::engines_changed()
 {
     if (this->state.routes)
-        this->keeper->offer_engines(this->state.routes, this->state.upstreams);
+        this->placement_service->offer_engines(this->state.routes, this->state.upstreams);
     auto const is_listed = [this](std::string_view identity) { return this->state.upstreams.find(identity) != nullptr; };
     this->state.selector.retain(is_listed);
     this->state.reachability->retain(is_listed);
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -5,15 +5,15 @@
 
 #include <LibAsync/HttpServer.h>
 #include <LibCore/Metrics.h>
-#include <LibRouter/CacheReader.h>
 #include <LibRouter/CrashReporter.h>
-#include <LibRouter/EngineKeeper.h>
-#include <LibRouter/Entry.h>
 #include <LibRouter/PlacementClient.h>
+#include <LibRouter/PlacementService.h>
+#include <LibRouter/PromptCacheFetcher.h>
 #include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
 #include <LibRouter/RegistryRelay.h>
+#include <LibRouter/RequestRouter.h>
 #include <LibRouter/RoleKeeper.h>
 #include <LibRouter/RouterState.h>
 #include <LibRouter/UpstreamLimiter.h>
@@ -97,7 +97,7 @@
     NodeAdapters adapters;
     Metrics metrics;
     RouterState state;
-    Entry entry;
+    RequestRouter request_router;
     std::unique_ptr<Kernel> kernel;
     std::unique_ptr<MembershipService> membership;
     std::unique_ptr<RegistryRelay> relay;
@@ -110,10 +110,10 @@
     std::unique_ptr<QuarantineKeeper> quarantine;
     std::unique_ptr<CrashAnalyzer> crash_analyzer;
     std::unique_ptr<CrashReporter> crash_reporter;
-    std::unique_ptr<EngineKeeper> keeper;
+    std::unique_ptr<PlacementService> placement_service;
     /// Empty where engines keep the roles that they have.
     std::unique_ptr<RoleKeeper> roles;
-    std::unique_ptr<CacheReader> cache_reader;
+    std::unique_ptr<PromptCacheFetcher> prompt_cache_fetcher;
     std::unique_ptr<RegistryFollower> follower;
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> operations;
--- a/Tests/LibRouter/TestPlacementClient.cpp
+++ b/Tests/LibRouter/TestPlacementClient.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A VM that keeps engines, as far as its clients see: it grants or says nothing, and remembers what it was told.
+/// A VM with a stub placement service, which grants every ask or does not reply, and records releases.
 struct KeeperVirtualMachine {
     KeeperVirtualMachine(asio::io_context& loop, std::string const& name)
     {
@@ -20,9 +20,9 @@
         this->kernel->host(std::string(PLACEMENT_SERVICE), [this](wire::Envelope const& message, Kernel::Responder const& respond) {
             if (message.has_release())
                 this->released.push_back(message.release().request());
-            if (!message.has_placement_ask() || !this->answers)
+            if (!message.has_placement_ask() || !this->replies)
                 return;
-            ++this->asked;
+            ++this->ask_count;
             wire::Envelope reply;
             reply.mutable_placement_grant()->set_prefill_engine("reader");
             reply.mutable_placement_grant()->set_decode_engine("maker");
@@ -32,12 +32,12 @@
     }
 
     std::unique_ptr<Kernel> kernel;
-    bool answers = true;
-    int asked = 0;
+    bool replies = true;
+    int ask_count = 0;
     std::vector<std::string> released;
 };
 
-/// A client on one of three VMs that keep engines.
+/// A client on one of three VMs with placement services.
 struct PlacementTest {
     PlacementTest()
     {
@@ -48,14 +48,14 @@
             members.push_back(member_of(*machine->kernel));
         for (auto const& machine : this->machines)
             machine->kernel->directory().replace(1, 0, members, {});
-        // The client stands on a VM that others go before.
+        // The client runs on a VM that is not the keeper.
         for (auto const& machine : this->machines) {
             PlacementClient const client({}, *machine->kernel);
             if (!client.is_keeper())
                 this->own = machine.get();
         }
         PlacementClient::Options options;
-        options.suspicion = milliseconds(50);
+        options.suspicion_time = milliseconds(50);
         options.silence = milliseconds(20);
         this->client = std::make_unique<PlacementClient>(options, *this->own->kernel);
     }
@@ -73,7 +73,7 @@
 
     bool run_until(std::function<bool()> const& condition) { return run_loop_until(this->loop, condition); }
 
-    /// Whether the request got a place.
+    /// Returns whether the request was granted a placement.
     bool place(std::string const& request)
     {
         std::optional<bool> granted;
@@ -85,7 +85,7 @@
     {
         PlacementAsk ask;
         ask.request = std::move(request);
-        auto const wait = std::make_shared<PlacementClient::Ask>(this->loop.get_executor());
+        auto const wait = std::make_shared<PlacementClient::PendingAsk>(this->loop.get_executor());
         auto const decision = co_await this->client->ask(ask, wait, { milliseconds(60), milliseconds(900), {} });
         granted = decision && std::holds_alternative<PlacementGrant>(*decision);
     }
@@ -98,14 +98,14 @@
 
 }
 
-TEST_CASE("A place is released at the keeper that granted it, whoever keeps by then", "[held][cut]")
+TEST_CASE("A grant is released at the VM that granted it even if the keeper has changed", "[held][cut]")
 {
     PlacementTest test;
     for (auto* other : test.others())
-        other->answers = false;
+        other->replies = false;
     REQUIRE(test.place("request-1"));
-    REQUIRE(test.own->asked == 1);
-    // The others are back, and one of them keeps.
+    REQUIRE(test.own->ask_count == 1);
+    // The others respond again, and one of them becomes the keeper.
     REQUIRE(test.run_until([&] { return !test.client->is_keeper(); }));
     test.own->released.clear();
     test.client->release("request-1", 7, {});
@@ -115,31 +115,31 @@
     REQUIRE(test.run_until([&] { return std::count(others[0]->released.begin(), others[0]->released.end(), "request-1") + std::count(others[1]->released.begin(), others[1]->released.end(), "request-1") > 2; }));
 }
 
-TEST_CASE("In a data centre that is cut off its own VMs are asked, and no other is waited for", "[cut]")
+TEST_CASE("In a data centre that is cut off, only its own VMs are asked", "[cut]")
 {
     PlacementTest test;
     auto const others = test.others();
-    // Who would keep is elsewhere and does not answer.
+    // The VM that would be the keeper is in another data centre and does not respond.
     auto* keeper = others[0];
     auto* neighbour = others[1];
     PlacementClient const of_other({}, *others[0]->kernel);
     if (!of_other.is_keeper())
         std::swap(keeper, neighbour);
-    keeper->answers = false;
+    keeper->replies = false;
     test.client->ranking().set_hooks({ [&] { return std::vector<std::string> { test.own->kernel->virtual_machine(), neighbour->kernel->virtual_machine() }; } });
     REQUIRE(test.place("request-1"));
     CHECK(keeper->released.empty());
-    CHECK(neighbour->asked + test.own->asked == 1);
-    SECTION("and the others again when it is not")
+    CHECK(neighbour->ask_count + test.own->ask_count == 1);
+    SECTION("and the other VMs are asked again when it is not")
     {
         test.client->ranking().set_hooks({});
-        keeper->answers = true;
+        keeper->replies = true;
         REQUIRE(test.place("request-2"));
-        CHECK(keeper->asked == 1);
+        CHECK(keeper->ask_count == 1);
     }
 }
 
-TEST_CASE("A release goes once to a keeper that granted and still keeps", "[held]")
+TEST_CASE("A release is sent only once if the VM that granted is still the keeper", "[held]")
 {
     PlacementTest test;
     REQUIRE(test.place("request-1"));
--- a/Tests/LibRouter/TestEngineKeeper.cpp
+++ b/Tests/LibRouter/TestPlacementService.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The Spurtide developers
 // SPDX-License-Identifier: BSD-2-Clause
 
-#include <LibRouter/EngineKeeper.h>
+#include <LibRouter/PlacementService.h>
 #include <catch2/catch.hpp>
 #include <google/protobuf/stubs/logging.h>
 #include <random>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Whose engines are of model "m".
+/// A configuration whose engines serve model "m".
 RoutingConfiguration engines_of_model()
 {
     ServiceTraits service;
@@ -21,26 +21,26 @@
     return configuration;
 }
 
-/// A keeper on a loop of its own, that is asked without the wire.
-struct KeeperTest {
-    explicit KeeperTest(CellScheduler::Options scheduler_options = {})
+/// A placement service on its own event loop, called directly instead of over the network.
+struct PlacementServiceTest {
+    explicit PlacementServiceTest(CellScheduler::Options scheduler_options = {})
     {
         Kernel::Options options;
         options.virtual_machine = "vm-1";
         options.listen_endpoint = "tcp://127.0.0.1:0";
         options.loop = &this->loop;
         this->kernel = Kernel::create(std::move(options)).release_value();
-        this->keeper = std::make_unique<EngineKeeper>(std::move(scheduler_options), *this->kernel, this->metrics, this->loop);
+        this->placement_service = std::make_unique<PlacementService>(std::move(scheduler_options), *this->kernel, this->metrics, this->loop);
     }
 
-    /// One engine of each role, of model "m".
+    /// Adds one engine of each role for model "m".
     void add_engines()
     {
         UpstreamList upstreams { UpstreamList::Options {} };
         UpstreamRecord prefill { "p", "m", "127.0.0.1:1", "dc", 8, UpstreamRecord::Life::Serving, EngineRole::Prefill, 0 };
         UpstreamRecord decode { "d", "m", "127.0.0.1:2", "dc", 8, UpstreamRecord::Life::Serving, EngineRole::Decode, 0 };
         upstreams.replace({ { prefill.identity, prefill, 1 }, { decode.identity, decode, 1 } }, 1, MonotonicTime {});
-        this->keeper->set_engines(engines_of_model(), upstreams);
+        this->placement_service->set_engines(engines_of_model(), upstreams);
     }
 
     std::optional<wire::Envelope> ask(std::string const& request, std::string const& origin = "vm-2.1")
@@ -54,30 +54,30 @@
         message->set_maximum_output_tokens(100);
         message->set_first_token_within_microseconds(900'000);
         std::optional<wire::Envelope> reply;
-        this->keeper->handle(envelope, [&](wire::Envelope message_back) { reply = std::move(message_back); });
+        this->placement_service->handle(envelope, [&](wire::Envelope message_back) { reply = std::move(message_back); });
         return reply;
     }
 
     asio::io_context loop { 1 };
     Metrics metrics;
     std::unique_ptr<Kernel> kernel;
-    std::unique_ptr<EngineKeeper> keeper;
+    std::unique_ptr<PlacementService> placement_service;
 };
 
 }
 
-TEST_CASE("A keeper that has not heard of engines says so, and refuses nobody", "[not-run][kill]")
+TEST_CASE("A keeper without engines replies that it is not ready instead of refusing requests", "[not-run][kill]")
 {
-    KeeperTest test;
+    PlacementServiceTest test;
     auto const reply = test.ask("r1");
     REQUIRE(reply);
     CHECK(reply->error().code() == wire::ERROR_CODE_NOT_READY);
     CHECK_FALSE(reply->has_placement_refusal());
 }
 
-TEST_CASE("A keeper that knows engines of other models refuses", "[not-run]")
+TEST_CASE("A keeper that only knows engines of other models refuses the request", "[not-run]")
 {
-    KeeperTest test;
+    PlacementServiceTest test;
     RoutingConfiguration configuration;
     ServiceTraits service;
     service.name = "other";
@@ -90,30 +90,30 @@
     record.address = "127.0.0.1:1";
     record.role = EngineRole::Decode;
     upstreams.replace({ { record.identity, record, 1 } }, 1, MonotonicTime {});
-    test.keeper->set_engines(configuration, upstreams);
+    test.placement_service->set_engines(configuration, upstreams);
     auto const reply = test.ask("r1");
     REQUIRE(reply);
     CHECK(reply->has_placement_refusal());
 }
 
-TEST_CASE("A keeper that stood still holds no place for those who asked meanwhile", "[freeze][held]")
+TEST_CASE("A keeper that was suspended holds no slots for asks from the meantime", "[freeze][held]")
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    KeeperTest test(options);
-    // From here on time passes by the test alone.
+    PlacementServiceTest test(options);
+    // From here on, the test controls the clock.
     auto now = monotonic_now();
-    EngineKeeper::Hooks hooks;
+    PlacementService::Hooks hooks;
     hooks.clock = [&] { return now; };
-    test.keeper->set_hooks(std::move(hooks));
+    test.placement_service->set_hooks(std::move(hooks));
     test.add_engines();
     REQUIRE(test.ask("before"));
     now += seconds(7);
     CHECK_FALSE(test.ask("stale-1"));
     now += milliseconds(20);
     CHECK_FALSE(test.ask("stale-2"));
-    CHECK(test.keeper->engine_states().at("m").size() == 2);
-    // This VM's own entry asks after the pause.
+    CHECK(test.placement_service->engine_states().at("m").size() == 2);
+    // Asks from this VM itself cannot predate the pause.
     CHECK(test.ask("own", test.kernel->incarnation()));
     now += milliseconds(100);
     auto const reply = test.ask("after");
@@ -121,15 +121,15 @@
     CHECK(reply->has_placement_grant());
 }
 
-// Peers may run another version, or be no peers at all.
-TEST_CASE("Damaged messages of peers never crash the keeper, and it goes on to place", "[whole]")
+// Messages may come from peers that run another version, or from processes that are not peers.
+TEST_CASE("Malformed messages from peers never crash the keeper, and it continues to decide asks", "[whole]")
 {
     auto const seed = GENERATE(range(1, 9));
     CAPTURE(seed);
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-    // The library tells of each text that is no UTF-8.
+    // The library logs every string that is not valid UTF-8.
     google::protobuf::LogSilencer const silencer;
-    KeeperTest test;
+    PlacementServiceTest test;
     test.add_engines();
     std::vector<std::string> corpus;
     for (int kind = 0; kind < 4; ++kind) {
@@ -171,22 +171,22 @@
         }
         wire::Envelope envelope;
         if (envelope.ParseFromString(bytes))
-            test.keeper->handle(envelope, [](wire::Envelope const&) {});
+            test.placement_service->handle(envelope, [](wire::Envelope const&) {});
     }
-    // Whatever they made of its accounts is let go in time, and nothing of it is left in the way of a new model.
+    // Nothing that the damaged messages left behind may keep a new request from being decided.
     wire::Envelope release;
     release.mutable_release()->set_request("r");
-    test.keeper->handle(release, [](wire::Envelope const&) {});
+    test.placement_service->handle(release, [](wire::Envelope const&) {});
     auto const reply = test.ask("r-last");
     if (reply)
         CHECK((reply->has_placement_grant() || reply->has_placement_refusal()));
 }
 
-TEST_CASE("A keeper before thousands of engines works with some, and with more as soon as these are not enough", "[fleet][burst]")
+TEST_CASE("A keeper with thousands of engines uses a subset and extends it when it becomes crowded", "[fleet][burst]")
 {
     CellScheduler::Options options;
     options.report_need = CellScheduler::Options::ReportNeed::None;
-    KeeperTest test(options);
+    PlacementServiceTest test(options);
     UpstreamList upstreams { UpstreamList::Options {} };
     std::vector<UpstreamChange> listed;
     for (int i = 0; i < 4000; ++i) {
@@ -194,26 +194,26 @@
         listed.push_back({ engine.identity, engine, 1 });
     }
     upstreams.replace(listed, 1, MonotonicTime {});
-    test.keeper->offer_engines(std::make_shared<RouteTable const>(engines_of_model()), upstreams);
+    test.placement_service->offer_engines(std::make_shared<RouteTable const>(engines_of_model()), upstreams);
     int granted = 0;
     auto const ask = [&] {
         auto const reply = test.ask("r" + std::to_string(granted));
         REQUIRE(reply);
         REQUIRE(reply->has_placement_grant());
-        // Its prompt is read, and its answer goes on being made.
+        // The prefill is finished and the request keeps its decode slot.
         wire::Envelope read;
         read.mutable_progress()->set_request("r" + std::to_string(granted));
         read.mutable_progress()->set_progress(wire::GRANT_PROGRESS_CACHE_HELD);
-        test.keeper->handle(read, [](wire::Envelope) {});
+        test.placement_service->handle(read, [](wire::Envelope) {});
         ++granted;
     };
     ask();
-    auto const at_first = test.keeper->engine_states().at("m").size();
+    auto const at_first = test.placement_service->engine_states().at("m").size();
     CHECK(at_first == 64);
-    // Four hundred at once are more than a quarter of what the first engines have places for.
+    // 400 concurrent requests take more than a quarter of the first engines' slots.
     while (granted < 400)
         ask();
-    auto const at_last = test.keeper->engine_states().at("m").size();
+    auto const at_last = test.placement_service->engine_states().at("m").size();
     CHECK(at_last > at_first);
     CHECK(at_last < 1024);
 }
--- a/Tests/Platform/TestPlatformDialect.cpp
+++ b/Tests/Platform/TestPlatformDialect.cpp
@@ -30,7 +30,7 @@
     auto const read = dialect.read_request(model_request().head);
     REQUIRE_FALSE(read.is_error());
     REQUIRE(read.value().identifier == "id-1");
-    REQUIRE(read.value().patience == seconds(14));
+    REQUIRE(read.value().caller_timeout == seconds(14));
     REQUIRE(read.value().last_event == "12");
     REQUIRE(read.value().prompt->prompt_tokens == 1460);
     REQUIRE(read.value().prompt->maximum_output_tokens == 80);
@@ -43,11 +43,11 @@
     struct Case {
         std::string name;
         std::string value;
-        CallerFault fault;
+        CallerRequestError fault;
     };
     auto const given = GENERATE(
-        Case { "X-Spurtide-Attempt-Id", "", CallerFault::MissingIdentifier }, Case { "X-Spurtide-Deadline-Ms", "soon", CallerFault::BadPatience }, Case { "X-Spurtide-Deadline-Ms", "-5", CallerFault::BadPatience },
-        Case { "X-Spurtide-Token-Count", "many", CallerFault::BadPrompt }, Case { "X-Spurtide-Token-Count", "10,-1", CallerFault::BadPrompt }, Case { "X-Spurtide-Token-Count", "99999999999999999999,1", CallerFault::BadPrompt });
+        Case { "X-Spurtide-Attempt-Id", "", CallerRequestError::MissingIdentifier }, Case { "X-Spurtide-Deadline-Ms", "soon", CallerRequestError::BadPatience }, Case { "X-Spurtide-Deadline-Ms", "-5", CallerRequestError::BadPatience },
+        Case { "X-Spurtide-Token-Count", "many", CallerRequestError::BadPrompt }, Case { "X-Spurtide-Token-Count", "10,-1", CallerRequestError::BadPrompt }, Case { "X-Spurtide-Token-Count", "99999999999999999999,1", CallerRequestError::BadPrompt });
     auto request = model_request();
     for (auto& field : request.head.headers.all()) {
         if (equal_names(field.name, given.name))
@@ -66,9 +66,9 @@
     for (auto const* name : { "X-Spurtide-Kv-Source", "x-spurtide-kv-source", "X-SPURTIDE-SERVING-PHASE", "X-Spurtide-Expect-Instance", "X-Spurtide-Request-Urgency", "X-Spurtide-Pin-Ms", "X-Spurtide-Kv-Hold", "X-Spurtide-Kv-Backup", "Kv-Fetch", "X-Spurtide-Expect-Version", "Connection", "Transfer-Encoding", "Keep-Alive", "Expect" })
         request.head.headers.add(name, "forged");
     Dispatch dispatch;
-    dispatch.patience = milliseconds(1234);
+    dispatch.remaining_time = milliseconds(1234);
     dispatch.expected_identity = "i-1";
-    auto const head = dialect.upstream_head(request, dispatch);
+    auto const head = dialect.upstream_request_head(request, dispatch);
     for (auto const& field : head.headers.all())
         REQUIRE(field.value != "forged");
     REQUIRE(head.headers.count("X-Spurtide-Deadline-Ms") == 1);
@@ -86,12 +86,12 @@
     PlatformDialect const dialect;
     Dispatch dispatch;
     dispatch.stage = DispatchStage::Prefill;
-    REQUIRE(dialect.upstream_head(model_request(), dispatch).headers.find("X-Spurtide-Serving-Phase") == "prefill");
+    REQUIRE(dialect.upstream_request_head(model_request(), dispatch).headers.find("X-Spurtide-Serving-Phase") == "prefill");
     dispatch.stage = DispatchStage::Decode;
     dispatch.cache_address = "10.1.64.9:8080";
     dispatch.cache_handle = "3fa0";
     dispatch.after_event = "30";
-    auto const decode = dialect.upstream_head(model_request(), dispatch);
+    auto const decode = dialect.upstream_request_head(model_request(), dispatch);
     REQUIRE(decode.headers.find("X-Spurtide-Kv-Source") == "10.1.64.9:8080/3fa0");
     REQUIRE(decode.headers.count("Last-Event-Id") == 1);
     REQUIRE(decode.headers.find("Last-Event-Id") == "30");
@@ -116,7 +116,7 @@
     CAPTURE(bad);
     auto const fault = dialect.read_cached_prompts(bad);
     REQUIRE(fault.is_error());
-    CHECK(fault.error() == UpstreamFault::MalformedBody);
+    CHECK(fault.error() == UpstreamResponseError::MalformedBody);
 }
 
 TEST_CASE("The configuration row is read whole, with defaults for what it leaves out")
@@ -163,17 +163,17 @@
     PlatformDialect const dialect;
     struct Case {
         std::string text;
-        LimitField::State state;
+        RateLimitHeader::State state;
         double rate;
     };
     auto const given = GENERATE(
-        Case { "4.3", LimitField::State::Named, 4.3 }, Case { "12", LimitField::State::Named, 12 }, Case { "0", LimitField::State::Named, 0 }, Case { "", LimitField::State::Unreadable, 0 },
-        Case { "-1", LimitField::State::Unreadable, 0 }, Case { "many", LimitField::State::Unreadable, 0 }, Case { "4.3/s", LimitField::State::Unreadable, 0 }, Case { "nan", LimitField::State::Unreadable, 0 }, Case { "inf", LimitField::State::Unreadable, 0 }, Case { "1e999", LimitField::State::Unreadable, 0 });
+        Case { "4.3", RateLimitHeader::State::Present, 4.3 }, Case { "12", RateLimitHeader::State::Present, 12 }, Case { "0", RateLimitHeader::State::Present, 0 }, Case { "", RateLimitHeader::State::Malformed, 0 },
+        Case { "-1", RateLimitHeader::State::Malformed, 0 }, Case { "many", RateLimitHeader::State::Malformed, 0 }, Case { "4.3/s", RateLimitHeader::State::Malformed, 0 }, Case { "nan", RateLimitHeader::State::Malformed, 0 }, Case { "inf", RateLimitHeader::State::Malformed, 0 }, Case { "1e999", RateLimitHeader::State::Malformed, 0 });
     HttpResponseHead head;
     head.status = 200;
-    CHECK(dialect.read_answer(head).limit.state == LimitField::State::Absent);
+    CHECK(dialect.read_response(head).limit.state == RateLimitHeader::State::Absent);
     head.headers.add("Server-Limit", given.text);
-    auto const limit = dialect.read_answer(head).limit;
+    auto const limit = dialect.read_response(head).limit;
     CAPTURE(given.text);
     CHECK(limit.state == given.state);
     CHECK(limit.rate == given.rate);
