--- a/Libraries/LibRouter/CrashAnalyzer.cpp
+++ b/Libraries/LibRouter/CrashAnalyzer.cpp
@@ -23,7 +23,7 @@
         this->ledger.note_completed(report.request, now);
     else
         this->ledger.note_crash(report.request, report.upstream, report.ran_for, now);
-    // What was found before all processes started again, or beyond a cut, stands in the store alone.
+    // Entries from before a restart of all processes, or from beyond a network partition, are in the store only.
     this->quarantine.ask_store();
     this->waiting.push_back({ report.request, std::move(answer), now + this->options.longest_verdict });
     this->decide();
@@ -47,8 +47,8 @@
         LogLine("request_quarantined").with("fingerprint", who.request.to_hex()).with("because", "crashed_one_again");
         this->quarantine.add(who.request);
     }
-    // A cause that was at enough crashes waits here for its verdict. While none does, the crashes of a large deployment are
-    // not gone through at each report.
+    // A request with enough crashes to be a cause is waiting here for its verdict. If there is none, skip the scan of all
+    // recorded crashes, which is expensive on large deployments.
     if (std::none_of(this->waiting.begin(), this->waiting.end(), [this](auto const& who) { return this->ledger.is_suspect(who.request); }))
         return;
     for (auto const& cause : this->ledger.find_causes([this](auto const& request) { return this->is_quarantined(request); }, now)) {
@@ -76,7 +76,7 @@
     this->is_timer_set = true;
     this->timer.expires_after(this->options.tick);
     this->timer.async_wait([this](asio::error_code error) {
-        // It is cancelled by the end of this alone.
+        // The wait is cancelled only by the destructor.
         if (error)
             return;
         this->is_timer_set = false;
--- a/Libraries/LibRouter/CrashAnalyzer.h
+++ b/Libraries/LibRouter/CrashAnalyzer.h
@@ -11,15 +11,15 @@
 
 namespace Spurtide {
 
-/// An upstream crashed while it had a request.
+/// A request that was in flight at an upstream when the upstream crashed.
 struct CrashReport {
     RequestFingerprint request;
     UpstreamIncarnation upstream;
-    /// Since the request was sent there.
+    /// Time from sending the request to the crash.
     Duration ran_for {};
     enum class Before {
         NotKnown,
-        /// The reporting VM saw the same request completed lately.
+        /// The reporting VM recently saw an identical request complete.
         Completed,
     } before
         = Before::NotKnown;
@@ -30,13 +30,14 @@
     Quarantined,
 };
 
-/// Decides for a service's requests which of them crash its upstreams, out of what all VMs report. Two VMs do that for each
-/// service, found by ranking, so that what was reported outlasts one of them.
+/// Determines which requests crash the upstreams of a service, from the crash reports of all VMs. The ranking assigns two VMs
+/// to each service, so that the reports survive the loss of one of them.
 class CrashAnalyzer {
 public:
     struct Options {
         CrashLedger::Options ledger {};
-        /// Whoever reports goes on with the request elsewhere, and callers notice pauses; by then it is told that it may.
+        /// The reporter holds its request back until it has the verdict, and the caller notices the delay. After this time the
+        /// request may be retried elsewhere.
         Duration longest_verdict = milliseconds(80);
         Duration tick = milliseconds(10);
     };
@@ -44,7 +45,7 @@
 
     CrashAnalyzer(Options options, QuarantineKeeper& quarantine, asio::io_context& loop);
 
-    /// The answer comes at once where the request cannot be a cause, else when all VMs have told who was there.
+    /// Answers at once if the request cannot be the cause, otherwise when all VMs have reported their requests at the upstream.
     void take(CrashReport const& report, Answer answer);
     void note_completed(RequestFingerprint const& request);
 
--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// So that what was reported outlasts one of them.
+/// Two, so that the reports survive the loss of one analyzer.
 constexpr std::size_t ANALYZERS = 2;
 
 wire::Envelope report_message(CrashReport const& report)
@@ -38,7 +38,7 @@
 
 }
 
-/// The analyzers' answers on their way to the coroutine that waits for them.
+/// Collects the analyzers' answers for the coroutine that waits for the verdict.
 struct CrashReporter::Pending {
     Pending(asio::any_io_executor const& executor, std::size_t analyzers)
         : signal(executor)
@@ -48,7 +48,7 @@
 
     struct AnalyzerAnswer {
         bool is_over = false;
-        /// Empty where the analyzer did not answer.
+        /// Empty if the analyzer did not answer.
         std::optional<CrashVerdict> verdict;
     };
 
@@ -58,8 +58,8 @@
         this->signal.notify();
     }
 
-    /// The first analyzer's word, or that of the next where it is silent; but whoever found a cause is right, since one that
-    /// has just become an analyzer has heard less.
+    /// The verdict of the first analyzer that answers, in ranking order. Any analyzer that found a cause overrides the others,
+    /// since one that has just become an analyzer has fewer reports.
     std::optional<CrashVerdict> verdict() const
     {
         if (std::any_of(this->answers.begin(), this->answers.end(), [](auto const& answer) { return answer.verdict == CrashVerdict::Quarantined; }))
@@ -70,7 +70,7 @@
             if (answer.verdict)
                 return answer.verdict;
         }
-        // Nobody answers. What the request may cost is one more upstream.
+        // No analyzer answered. A retry crashes at most one more upstream.
         return CrashVerdict::MayGoOn;
     }
 
@@ -98,7 +98,7 @@
 {
     auto names = this->ranking.names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
     names.resize(std::min(names.size(), ANALYZERS));
-    // Alone, or before it has met others, a VM analyzes for itself.
+    // A VM that knows of no others analyzes its own reports.
     if (names.empty())
         names.push_back(this->kernel.virtual_machine());
     return names;
@@ -132,7 +132,7 @@
             return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayGoOn);
         if (reply.is_error() && reply.error().kind != WireErrorKind::Remote)
             this->ranking.note_silent(analyzer);
-        LogLine("crash_analyzer_silent").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
+        LogLine("crash_analyzer_unresponsive").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
         answer(std::nullopt);
     });
 }
--- a/Libraries/LibRouter/CrashReporter.h
+++ b/Libraries/LibRouter/CrashReporter.h
@@ -10,27 +10,27 @@
 
 namespace Spurtide {
 
-/// Tells the VMs that analyze a service's crashes which requests were at upstreams that crashed, and which of these were
-/// completed.
+/// Reports requests that were in flight at crashed upstreams to the VMs that analyze the service's crashes, and reports those
+/// of them that complete later.
 class CrashReporter {
 public:
     struct Options {
-        /// Longest wait for an analyzer's answer: what it may take itself, and a path between data centres. What waits for it
-        /// is mostly a bystander, whose caller sees the pause.
+        /// Timeout for an analyzer's answer: its own time limit plus a round trip between data centres. Most requests that wait
+        /// for it did not cause the crash, and their callers notice the delay.
         Duration answer_time = CrashAnalyzer::Options {}.longest_verdict + milliseconds(20);
-        /// Completed requests that are remembered, so that one that many callers send alike is not blamed for crashes. A
-        /// minute of what a VM of today carries.
+        /// Completed requests, kept so that an identical request sent by many callers is not taken for the cause of a crash.
+        /// The size holds about one minute of a VM's traffic.
         RecentRequests::Options completed { seconds(60), 4096 };
-        /// Reported requests that are told of when they are completed.
+        /// Reported requests whose completion is reported as well.
         RecentRequests::Options reported { seconds(3600), 1024 };
     };
 
     CrashReporter(Options options, Kernel& kernel, KeeperRanking& ranking, QuarantineKeeper& quarantine, CrashAnalyzer& own_analyzer);
 
-    /// Makes the service known. Call before the kernel starts.
+    /// Registers the service. Call before the kernel starts.
     void host();
 
-    /// Gives whether the request may go on elsewhere.
+    /// Returns whether the request may be retried at another upstream.
     asio::awaitable<CrashVerdict> report(std::string service, RequestFingerprint request, UpstreamIncarnation upstream, Duration ran_for);
     void note_completed(std::string const& service, RequestFingerprint const& request);
 
--- a/Libraries/LibRouter/KeeperRanking.h
+++ b/Libraries/LibRouter/KeeperRanking.h
@@ -14,16 +14,16 @@
 
 namespace Spurtide {
 
-/// Every VM hosts the first; those that can carry the engines of all announce the second as well.
+/// All VMs host the first service; VMs with enough capacity to manage all engines announce the second as well.
 constexpr std::string_view PLACEMENT_SERVICE = "placement";
 constexpr std::string_view STRONG_PLACEMENT_SERVICE = "placement-strong";
 
-/// Which VM keeps something for all others, found by each VM on its own: the VMs that can are ranked by rendezvous
-/// hashing, and those that did not answer lately are passed over.
+/// Determines, without coordination, which VM is responsible for a key. Eligible VMs are ranked by rendezvous hashing; VMs that
+/// recently failed to answer are skipped.
 class KeeperRanking {
 public:
     struct Hooks {
-        /// While this VM's data centre is cut off from all others, the VMs in it; empty else.
+        /// The VMs of this data centre while it is partitioned from all others; empty otherwise.
         std::function<std::optional<std::vector<std::string>>()> confined_to = [] { return std::optional<std::vector<std::string>> {}; };
     };
 
@@ -35,14 +35,14 @@
 
     void set_hooks(Hooks new_hooks) { this->hooks = std::move(new_hooks); }
 
-    /// VMs in the order in which they would keep what the key names, without those that were silent lately.
+    /// The VMs responsible for the key in order of preference, without those that recently failed to answer.
     std::vector<std::string> names(std::string_view key) const;
-    /// Where a VM's process listens; empty where it is not known.
+    /// The endpoint of a VM's process; empty if unknown.
     std::string endpoint_of(std::string const& virtual_machine) const;
-    /// The first of the order; this VM's own where there is none.
+    /// The endpoint of the first VM in the ranking; this VM's own if the ranking is empty.
     std::string present_endpoint(std::string_view key) const;
     bool is_own(std::string_view key) const;
-    /// The VM did not answer; it is not asked again for some time.
+    /// Excludes a VM that did not answer from the ranking for the suspicion time.
     void note_silent(std::string const& virtual_machine);
 
 private:
--- a/Libraries/LibRouter/LeasePort.h
+++ b/Libraries/LibRouter/LeasePort.h
@@ -12,15 +12,15 @@
 
 namespace Spurtide {
 
-/// The port to rows that say who may do what, changed by conditional writes alone.
+/// Interface to the lease rows in the platform's store, which are changed by conditional writes only.
 class LeasePort {
 public:
     virtual ~LeasePort() = default;
 
-    /// The row as it is; empty where there is none. Errors: Unreachable, Unavailable, InDoubt, Malformed.
+    /// Reads the current row; empty if there is none. Errors: Unreachable, Unavailable, InDoubt, Malformed.
     virtual asio::awaitable<Result<std::optional<LeaseRow>, PlatformError>> read_lease(std::string name) = 0;
-    /// Writes the row where it still has the version (0: where it is not there); gives its new version.
-    /// Errors: those of a read, and Conflict. After InDoubt the write may have taken effect, or may do so
+    /// Writes the row if it still has the expected version (0: if it does not exist) and returns its new version.
+    /// Errors: those of read_lease(), and Conflict. After InDoubt the write may have taken effect, or may do so
     /// seconds later.
     virtual asio::awaitable<Result<std::int64_t, PlatformError>> write_lease(std::string name, std::string holder, std::int64_t expected_version) = 0;
 };
--- a/Libraries/LibRouter/QuarantineKeeper.cpp
+++ b/Libraries/LibRouter/QuarantineKeeper.cpp
@@ -73,7 +73,7 @@
     this->is_reading = false;
     this->store_asked_at = monotonic_now();
     if (entries.is_error()) {
-        LogLine("quarantine_unread").with("error", to_string(entries.error()));
+        LogLine("quarantine_read_failed").with("error", to_string(entries.error()));
         co_return;
     }
     this->outdated.clear();
@@ -95,14 +95,14 @@
         if (!written.is_error()) {
             LogLine("quarantine_written").with("fingerprint", entry.request.to_hex()).with("times", entry.times);
             this->outdated.clear();
-            // A newer entry may have come meanwhile.
+            // The entry may have been replaced during the write.
             auto const found = this->unwritten.find(entry.request);
             if (found != this->unwritten.end() && found->second == entry)
                 this->unwritten.erase(found);
             pause = this->options.first_write_pause;
             continue;
         }
-        LogLine("quarantine_unwritten").with("fingerprint", entry.request.to_hex()).with("error", to_string(written.error()));
+        LogLine("quarantine_write_failed").with("fingerprint", entry.request.to_hex()).with("error", to_string(written.error()));
         timer.expires_after(pause);
         pause = std::min(pause * 2, this->options.longest_write_pause);
         asio::error_code ignored;
@@ -116,7 +116,7 @@
 void QuarantineKeeper::merge(QuarantineEntry const& entry, std::string_view source)
 {
     if (this->quarantine.merge(entry, unix_milliseconds()) == Quarantine::Merge::News)
-        LogLine("quarantine_heard").with("fingerprint", entry.request.to_hex()).with("times", entry.times).with("until", entry.until).with("source", source);
+        LogLine("quarantine_received").with("fingerprint", entry.request.to_hex()).with("times", entry.times).with("until", entry.until).with("source", source);
 }
 
 void QuarantineKeeper::merge(wire::QuarantineRecords const& records)
@@ -130,7 +130,7 @@
 
 void QuarantineKeeper::hear_of(std::string const& endpoint, std::uint64_t other)
 {
-    // A VM that has none has nothing to tell.
+    // A digest of 0 stands for an empty list.
     if (other == 0 || other == this->digest() || endpoint.empty() || std::exchange(this->is_fetching, true))
         return;
     auto envelope = message_to(QUARANTINE_SERVICE);
--- a/Libraries/LibRouter/QuarantineKeeper.h
+++ b/Libraries/LibRouter/QuarantineKeeper.h
@@ -17,16 +17,16 @@
 
 constexpr std::string_view QUARANTINE_SERVICE = "quarantine";
 
-/// Keeps the requests that upstreams are kept from, on every VM the same. Whoever finds one tells all VMs at once; one that
-/// missed it finds out by the next heartbeat, which carries a digest, and fetches all. The platform's store has them as
-/// well, for when all processes start again and for data centres that are cut off from each other.
+/// Replicates the list of quarantined requests to all VMs. The VM that adds an entry broadcasts it; a VM that misses the
+/// broadcast detects the difference by the digest in the next heartbeat and fetches the whole list. Entries are also written
+/// to the platform's store, for restarts of all processes and for data centres that are partitioned from each other.
 class QuarantineKeeper {
 public:
     struct Options {
         Quarantine::Options quarantine {};
-        /// What the store said is good for so long: crashes come in series, and one read serves them.
+        /// How long a read of the store stays valid. Crashes come in series, and one read serves the series.
         Duration store_memory = seconds(2);
-        /// Between two tries to write an entry; doubles up to the longest.
+        /// Delay before a failed write is retried; doubles up to the longest.
         Duration first_write_pause = milliseconds(500);
         Duration longest_write_pause = seconds(8);
         Duration fetch_timeout = milliseconds(500);
@@ -36,25 +36,25 @@
 
     void start();
 
-    /// How long the request is still kept out; empty where it may be sent.
+    /// The remaining quarantine time of the request; empty if it may be sent.
     std::optional<Duration> held_for(RequestFingerprint const& request) const;
-    /// Whether one more crash is enough to keep it out again.
+    /// Whether a single further crash quarantines the request again.
     bool is_on_probation(RequestFingerprint const& request) const;
-    /// Those that are kept out, and those on probation.
+    /// The number of requests in quarantine and on probation.
     std::size_t size() const { return this->quarantine.size(); }
 
-    /// Keeps the request out everywhere from now on.
+    /// Quarantines the request on all VMs.
     void add(RequestFingerprint const& request);
 
-    /// Whether the store was asked lately, with an answer or without.
+    /// Whether a recent read of the store has finished, successfully or not.
     bool has_asked_store() const;
-    /// Asks it where that is not so.
+    /// Starts a read of the store unless there was a recent one.
     void ask_store();
 
     std::uint64_t digest() const { return this->quarantine.digest(); }
-    /// The VM there has a digest, which may be another than here.
+    /// Handles the digest of another VM; fetches that VM's entries if it differs from this one's.
     void hear_of(std::string const& endpoint, std::uint64_t digest);
-    /// Answers a VM that fetches, and takes what another tells; false for other messages.
+    /// Answers fetches and merges broadcast entries; returns false for other messages.
     bool handle(wire::Envelope const& request, Kernel::Responder const& respond);
 
 private:
--- a/Libraries/LibRouter/QuarantinePort.h
+++ b/Libraries/LibRouter/QuarantinePort.h
@@ -11,15 +11,15 @@
 
 namespace Spurtide {
 
-/// The port to the rows of the requests that are kept from upstreams, which outlast all processes of the system.
+/// Interface to the quarantine rows in the platform's store, which survive a restart of all processes.
 class QuarantinePort {
 public:
     virtual ~QuarantinePort() = default;
 
-    /// All that are written and can be read. Errors: Unreachable, Unavailable, InDoubt, Malformed.
+    /// Reads all entries; rows that cannot be decoded are left out. Errors: Unreachable, Unavailable, InDoubt, Malformed.
     virtual asio::awaitable<Result<std::vector<QuarantineEntry>, PlatformError>> read_quarantine() = 0;
-    /// Writes an entry, whatever stood there, and removes the outdated. Errors: those of a read; after InDoubt it may have
-    /// taken effect, and may be written again.
+    /// Overwrites an entry and removes the outdated ones. Errors: those of read_quarantine(). After InDoubt the write may have
+    /// taken effect; it is safe to repeat.
     virtual asio::awaitable<Result<Done, PlatformError>> write_quarantine(QuarantineEntry entry, std::vector<RequestFingerprint> outdated) = 0;
 };
 
--- a/Libraries/LibRouter/QuotaClient.cpp
+++ b/Libraries/LibRouter/QuotaClient.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The VM that counts and the one that stands in for it.
+/// The counting VM and one fallback.
 constexpr std::size_t MOST_ASKED = 2;
 
 }
@@ -35,7 +35,7 @@
     auto const now = monotonic_now();
     QuotaLedger::Ask ask;
     ask.returned = this->credit.take_unused(account, now);
-    // All of it, whatever lies here: other requests that ask meanwhile may take that.
+    // Ask for the whole cost regardless of local credit, which concurrent requests may spend.
     ask.needed = cost;
     ask.wanted = cost + this->credit.foreseen(account, now);
     ask.patience = patience;
@@ -59,8 +59,8 @@
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
     }
     auto const alone = this->ask_own(account, cost, patience, QuotaCounter::Standing::Alone);
-    LogLine("quota_counted_alone").with("account", account);
-    // A limit that is gone from the newest configuration binds nobody.
+    LogLine("quota_counted_locally").with("account", account);
+    // Without an answer the newest configuration has no limit for the account.
     co_return alone ? this->settle(account, cost, *alone) : Decision {};
 }
 
@@ -80,7 +80,7 @@
     co_return std::nullopt;
 }
 
-// What this VM used by the leave of another that counted is news to its own counter as well.
+// Credit that another counter granted to this VM is unknown to the local counter, so the local counter gets the usage too.
 std::optional<QuotaLedger::Answer> QuotaClient::ask_own(std::string const& account, double cost, Duration patience, QuotaCounter::Standing standing)
 {
     auto ask = this->ask_for(account, cost, patience);
@@ -113,10 +113,10 @@
     auto const answered = co_await call_service(this->kernel, this->ranking.endpoint_of(virtual_machine), std::move(envelope), answer_patience);
     if (answered.is_error()) {
         auto const& error = answered.error();
-        // One that says that it is not ready is there; keepers of other things need not avoid it.
+        // A VM that answers with an error is alive, so it stays in the ranking for other keys.
         if (error.kind != WireErrorKind::Remote)
             this->ranking.note_silent(virtual_machine);
-        LogLine("quota_counter_silent").with("vm", virtual_machine).with("account", account).with("error", to_string(error.kind));
+        LogLine("quota_counter_unresponsive").with("vm", virtual_machine).with("account", account).with("error", to_string(error.kind));
         co_return std::nullopt;
     }
     auto const& reply = answered.value();
--- a/Libraries/LibRouter/QuotaClient.h
+++ b/Libraries/LibRouter/QuotaClient.h
@@ -12,25 +12,25 @@
 
 namespace Spurtide {
 
-/// Counts the requests of this VM against their accounts' limits, which hold over all VMs together. A request is
-/// counted before it is sent to an upstream, and its cost is given back where it has not run.
+/// Counts the requests of this VM against the limits of their accounts, which apply to all VMs together. A request is counted
+/// before it is sent to an upstream; its cost is refunded if it was not executed.
 ///
-/// The VM that counts the account is asked, unless credit from an earlier ask lies here; a message there and back for
-/// a request at most, none for most requests of accounts that are far from their limits. One that does not answer is
-/// passed over, then the next stands in, then this VM counts for itself.
+/// A request is paid for from the local credit of its account or else by asking the VM that counts the account. This takes
+/// at most one round trip per request, and none for most requests of accounts that are far from their limits. If the counting
+/// VM does not answer, the next one in the ranking is asked, and then this VM counts for itself.
 class QuotaClient {
 public:
     struct Options {
         QuotaCredit::Options credit {};
-        /// Longest wait for one VM's answer.
+        /// Timeout for the answer of one VM.
         Duration answer_time = milliseconds(300);
-        /// After a start, of this VM or of the one that counts, requests wait for the VMs to meet: refused, they would come
-        /// back into the same second. Polls of this many, at most, while none is ready.
+        /// After a start of this VM or of the counting one, requests wait until the VMs have discovered each other: rejected
+        /// requests would all be retried within the same second. This is the number of polls before this VM counts alone.
         int longest_polls = 16;
         Duration poll = milliseconds(100);
-        /// Silence after which its process is asked whether it is there.
+        /// Time without an answer after which the process is probed.
         Duration silence = milliseconds(100);
-        /// How often unused credit goes back where no ask takes it along.
+        /// How often unused credit is returned if no request for new credit carries it.
         Duration return_interval = milliseconds(500);
     };
 
@@ -44,17 +44,17 @@
     };
     struct Decision {
         Outcome outcome = Outcome::Counted;
-        /// When an over-limit caller should come back.
+        /// When a caller over its limit should retry.
         Duration retry_after {};
     };
 
-    /// Counts a request; the patience is how long its caller still waits.
+    /// Counts a request; the patience is the time that its caller is still willing to wait.
     asio::awaitable<Decision> take(std::string account, double cost, Duration patience);
-    /// A request that was counted has not run and will not.
+    /// Refunds the cost of a request that was counted but will not be executed.
     void give_back(std::string const& account, double cost);
 
 private:
-    /// Empty where none that was asked is ready.
+    /// Empty if none of the VMs asked is ready.
     asio::awaitable<std::optional<Decision>> ask_ranked(std::string account, double cost, Duration patience);
     QuotaLedger::Ask ask_for(std::string const& account, double cost, Duration patience);
     std::optional<QuotaLedger::Answer> ask_own(std::string const& account, double cost, Duration patience, QuotaCounter::Standing standing);
@@ -67,7 +67,7 @@
     KeeperRanking& ranking;
     QuotaCounter& own_counter;
     QuotaCredit credit;
-    /// The counting process that answered last, by account.
+    /// The process that last answered for an account, by account name.
     std::map<std::string, std::string, std::less<>> counters;
 };
 
--- a/Libraries/LibRouter/QuotaCounter.cpp
+++ b/Libraries/LibRouter/QuotaCounter.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Of what the first in the ranking gives out. With it and one burst counted twice, accounts stay within a tenth over
-/// their limit for as long as VMs take to agree, about two seconds.
+/// The share of the limit that a VM grants while it is not first in the ranking. Including one burst that is counted twice,
+/// accounts exceed their limit by at most a tenth until the VMs agree on the ranking, which takes about two seconds.
 constexpr double STAND_IN_PART = 0.25;
 
 }
--- a/Libraries/LibRouter/QuotaCounter.h
+++ b/Libraries/LibRouter/QuotaCounter.h
@@ -16,49 +16,50 @@
 
 constexpr std::string_view QUOTA_SERVICE = "quota";
 
-/// Hosts the service that counts accounts against their limits. Every VM hosts one; each account is counted by the VM
-/// that the ranking names first for it, so the work is spread over those that can keep things for all. Exact while
-/// that VM is agreed on. Where it is not, what is given out stays inside the limit by parts:
-/// - A VM that is asked and is not the first by its own ranking stands in with a quarter of the limit: the one before
-///   it may count as well, until all have heard that it is gone.
-/// - Whoever counts gives out the part of the limit that its reachable VMs are of all, so data centres that are cut off
-///   from each other stay inside the limit together. VMs that left as planned are not missed.
-/// - A VM that reaches none of them counts for itself, with one VM's part.
+/// Hosts the service that counts accounts against their limits. All VMs host it; the first VM in an account's ranking counts
+/// the account, which spreads the work over the eligible VMs. Counting is exact while all VMs agree on the ranking. While they
+/// disagree, partial limits keep the total within the limit:
+/// - A VM that is asked but is not first in its own ranking grants up to a quarter of the limit, since the VM before it may
+///   still be counting until all VMs know that it is gone.
+/// - A counting VM grants the fraction of the limit that corresponds to the fraction of VMs that it can reach, so that data
+///   centres that are partitioned from each other stay within the limit together. VMs that left in a planned way do not count
+///   as unreachable.
+/// - A VM that reaches no counting VM counts for itself, with the share of one VM.
 class QuotaCounter {
 public:
-    /// VMs as this one sees them.
+    /// The numbers of VMs as seen by this one.
     struct VirtualMachines {
-        /// Those that answer, this one among them.
+        /// VMs that answer, including this one.
         std::size_t live = 1;
-        /// Those that were lost without leaving.
+        /// VMs that disappeared without leaving.
         std::size_t lost = 0;
-        /// Of those that answer, the ones that started within the window and may have forgotten what they used.
+        /// Live VMs that started within the quota window and may have lost their usage records.
         std::size_t young = 0;
     };
 
     struct Hooks {
         std::function<std::shared_ptr<RouteTable const>()> routes;
-        /// Whether this VM has met most of the others since its start.
+        /// Whether this VM has discovered most of the others since its start.
         std::function<bool()> is_settled = [] { return true; };
         std::function<VirtualMachines()> virtual_machines = [] { return VirtualMachines {}; };
     };
 
     enum class Standing {
-        /// By the ranking, first or standing in.
+        /// Chosen by the ranking, as the first VM or as a fallback.
         Ranked,
-        /// Nobody else answered.
+        /// No other VM answered.
         Alone,
     };
 
     QuotaCounter(QuotaLedger::Options options, Kernel& kernel, KeeperRanking& ranking, Hooks hooks);
 
-    /// Makes the service known. Call before the kernel starts.
+    /// Registers the service. Call before the kernel starts.
     void host();
     void retain(AccountBook const& book) { this->ledger.retain(book); }
 
     bool is_settled() const { return this->hooks.is_settled(); }
-    /// Empty where the configuration here has no such limit, or this VM has not met the others yet: it would count beside
-    /// the one that does.
+    /// Empty if the local configuration has no limit for the account, or if this VM has not yet discovered the others and might
+    /// count in parallel with another VM.
     std::optional<QuotaLedger::Answer> take(std::string const& account, QuotaLedger::Ask const& ask, Standing standing);
     void give_back(std::string const& account, double amount);
 
--- a/Libraries/LibRouter/ReachabilityProber.h
+++ b/Libraries/LibRouter/ReachabilityProber.h
@@ -12,35 +12,35 @@
 
 namespace Spurtide {
 
-/// Makes the probes that the tracker wants, and breaks off what waits in vain.
+/// Sends the probes that the reachability tracker requests, and aborts connections to unreachable upstreams.
 class ReachabilityProber {
 public:
     struct Options {
-        /// A path between data centres of one deployment takes a few milliseconds; one packet may be lost.
+        /// A round trip between data centres takes a few milliseconds; the timeout allows for one lost packet.
         Duration connect_timeout = milliseconds(250);
     };
 
     ReachabilityProber(Options options, asio::io_context& loop, std::shared_ptr<ReachabilityTracker> reachability, ConnectionPool& pool, UpstreamList const& upstreams);
 
-    /// Call some times a second.
+    /// Call several times per second.
     void tick();
 
-    /// Connections that are broken off when their upstream turns out to be out of reach.
+    /// Connections to abort when their upstream becomes unreachable, by upstream identity.
     using Watched = std::multimap<std::string, std::weak_ptr<HttpConnection>>;
     std::shared_ptr<Watched> const& watched() const { return this->watched_connections; }
     std::shared_ptr<ReachabilityTracker> const& tracker() const { return this->reachability; }
 
     enum class Process {
-        /// Something listens at its address, or the path there tells nothing.
+        /// A process listens at the address, or the connection failure does not tell.
         NotKnown,
         Gone,
     };
-    /// Finds out, by a connection where that is not known yet, whether this incarnation of the upstream is gone.
+    /// Determines whether this incarnation of the upstream is gone; connects to it if that is not known yet.
     asio::awaitable<Process> probe_process(UpstreamRecord upstream);
-    /// What is known without one.
+    /// Like probe_process(), but never connects.
     Process known_process(UpstreamRecord const& upstream) const;
 
-    /// Nothing could be connected to the upstream just now, for this reason.
+    /// Handles a failed connection attempt to the upstream.
     void note_unreachable(UpstreamRecord const& upstream, HttpError error);
 
 private:
@@ -53,7 +53,7 @@
     ConnectionPool& pool;
     UpstreamList const& upstreams;
     std::shared_ptr<Watched> watched_connections = std::make_shared<Watched>();
-    /// Of listed upstreams where nothing listened, the starts of the incarnations that are gone.
+    /// Start times of terminated incarnations, by the identity of a listed upstream whose address refused a connection.
     std::map<std::string, std::int64_t, std::less<>> gone_processes;
 };
 
--- a/Libraries/LibRouter/RegistryFollower.cpp
+++ b/Libraries/LibRouter/RegistryFollower.cpp
@@ -16,13 +16,13 @@
 
 void log_failure(std::string_view what, PlatformError error, int failures)
 {
-    // The first failure and then some tell the story; a line for each would drown it.
+    // Log the first failure and every tenth, so that a long outage does not flood the log.
     if (failures == 1 || failures % 10 == 0)
         LogLine("registry_failed").with("what", what).with("error", to_string(error)).with("failures", failures);
 }
 
-// After a failure the answer must come at once: a watch that waits would tell of the registry's return only
-// with its next news.
+// After a failure the watch must return at once: one that waits would show that the registry is available again only with
+// the next update.
 Duration wait_after(int failures, Duration watch) { return failures > 0 ? Duration::zero() : watch; }
 
 }
@@ -41,8 +41,8 @@
     asio::co_spawn(this->loop, this->follow_upstreams(), asio::detached);
 }
 
-// Doubles with each failure in a row, up to a limit, and differs by VM and turn. VMs that stand in for others share
-// their tries from the first one on.
+// Exponential backoff with jitter that differs by VM and attempt. The hook lengthens all pauses in proportion, so that VMs
+// that watch on behalf of others spread their retries from the first one on.
 asio::awaitable<void> RegistryFollower::pause(int failures)
 {
     auto const doubled = this->options.first_pause * (1 << std::min(failures, MOST_DOUBLINGS));
@@ -64,10 +64,10 @@
 {
     if (this->hooks.watches())
         co_return;
-    LogLine("registry_watch_left_to_others").with("what", what);
+    LogLine("registry_watch_stopped").with("what", what);
     while (!this->hooks.watches())
         co_await this->sleep(this->options.idle_check);
-    LogLine("registry_watch_taken_up").with("what", what);
+    LogLine("registry_watch_started").with("what", what);
 }
 
 asio::awaitable<void> RegistryFollower::wait_until_upstreams_are_heard()
@@ -102,7 +102,7 @@
             continue;
         }
         if (failures > 0)
-            LogLine("registry_back").with("what", "configuration").with("failures", std::exchange(failures, 0));
+            LogLine("registry_recovered").with("what", "configuration").with("failures", std::exchange(failures, 0));
         bool const was_empty_read = !position && !news.value().document;
         position = news.value().position;
         if (news.value().document)
@@ -153,7 +153,7 @@
         this->hooks.on_call("upstreams", has_failed ? to_string(error) : ANSWERED);
         if (!has_failed) {
             if (failures > 0)
-                LogLine("registry_back").with("what", "upstreams").with("failures", std::exchange(failures, 0));
+                LogLine("registry_recovered").with("what", "upstreams").with("failures", std::exchange(failures, 0));
             if (has_news)
                 co_await this->sleep(this->hooks.gathering());
             continue;
--- a/Libraries/LibRouter/RegistryFollower.h
+++ b/Libraries/LibRouter/RegistryFollower.h
@@ -8,49 +8,50 @@
 
 namespace Spurtide {
 
-/// Follows the registry by watches, and reads the whole again where history is gone. Each of its two loops
-/// tells what is new, and whether the registry can be read. While it cannot, the loop of the upstreams alone tries.
+/// Follows the configuration and the list of upstreams in the registry by long-poll watches, and reads them anew if the
+/// registry no longer has the history since the last position. Each has its own loop. While the registry is unavailable, only
+/// the loop of the upstreams retries.
 class RegistryFollower {
 public:
     struct Options {
-        /// How long one watch of the upstreams waits for news. Short enough to notice a registry that is silent.
+        /// Timeout of one watch of the upstreams; short enough to detect a registry that has stopped answering.
         Duration upstreams_watch = seconds(4);
-        /// Of the configuration. As short: others rely on what this VM hears.
+        /// Timeout of one watch of the configuration; as short, since other VMs rely on this one's updates.
         Duration configuration_watch = seconds(4);
-        /// How often a VM that does not watch looks whether it has to.
+        /// How often a VM that does not watch checks whether it should.
         Duration idle_check = milliseconds(200);
         Duration first_pause = milliseconds(150);
         Duration longest_pause = milliseconds(900);
-        /// Spreads the VMs' tries; any number that differs by VM.
+        /// Seed that spreads the retries of different VMs; any number that differs by VM.
         std::uint64_t spread = 0;
     };
 
     struct Hooks {
         std::function<void(ConfigurationDocument const&)> on_configuration;
-        /// Told after the configuration that came with it.
+        /// Called after on_configuration for the same update.
         std::function<void(EvacuationNews const&)> on_evacuations = [](auto const&) {};
-        /// The whole list as of a position.
+        /// The whole list was read.
         std::function<void(UpstreamSnapshot const&)> on_upstreams;
         std::function<void(UpstreamNews const&)> on_upstream_news;
         std::function<void(UpstreamList::RegistryState)> on_upstreams_state;
-        /// A call ended: what it was for, and the name of its error, or "answered".
+        /// A call to the registry ended; the result is the name of its error, or "answered".
         std::function<void(std::string_view what, std::string_view result)> on_call = [](auto, auto) {};
-        /// Whether this VM is to watch the registry; others may do it for this one.
+        /// Whether this VM should watch the registry, as opposed to relying on others.
         std::function<bool()> watches = [] { return true; };
-        /// How long news are gathered after each, so that those which come together are told together.
+        /// Delay after each update during which further ones are collected into one batch.
         std::function<Duration()> gathering = [] { return milliseconds(200); };
-        /// The longest pause between two tries, where usually it would be so long.
+        /// Adjusts the longest pause between retries.
         std::function<Duration(Duration usual)> longest_pause = [](Duration usual) { return usual; };
-        /// Up to where others told of them.
+        /// The version of the list of upstreams, including updates from other VMs.
         std::function<std::int64_t()> upstreams_version = [] { return std::int64_t { 0 }; };
     };
 
     RegistryFollower(Options options, asio::io_context& loop, RegistryPort& registry, Hooks hooks);
 
     void start();
-    /// Whether the upstreams were read at least once.
+    /// Whether the list of upstreams was read at least once.
     bool has_upstreams() const { return this->upstreams_read; }
-    /// Whether news come from the registry just now, as far as the last call tells.
+    /// Whether the last call to the registry succeeded.
     bool follows_configuration() const { return this->configuration_followed; }
     bool follows_upstreams() const { return this->upstreams_followed; }
 
--- a/Libraries/LibRouter/RegistryPort.h
+++ b/Libraries/LibRouter/RegistryPort.h
@@ -18,39 +18,39 @@
 
 namespace Spurtide {
 
-/// The operators' configuration as the platform keeps it; peers relay it in this form.
+/// The operators' configuration in the platform's encoding; peers relay it in this form.
 struct ConfigurationDocument {
     std::string text;
 };
 
-/// What operators wrote, and where a watch goes on from.
+/// A configuration update, and the position from which the next watch continues.
 struct ConfigurationNews {
-    /// Empty where there is none, or none that is new.
+    /// Empty if there is no configuration, or if it has not changed.
     std::optional<ConfigurationDocument> document;
     EvacuationNews evacuations;
     std::int64_t position = 0;
 };
 
-/// Why a configuration is not taken; the one before stays in force.
+/// Why a configuration is rejected; the previous one stays in force.
 struct ConfigurationFault {
     enum class Kind {
-        /// Not an object of the platform's encoding.
+        /// The document is not an object in the platform's encoding.
         NotReadable,
-        /// A field that is needed is not there.
+        /// A required field is missing.
         Missing,
         WrongType,
         OutOfRange,
         Duplicate,
     } kind
         = Kind::NotReadable;
-    /// The path of the field, such as /accounts/2/name in the configuration's own words; never its value.
+    /// The path of the field in the document, such as /accounts/2/name; never its value.
     std::string field;
 };
 
 std::string_view to_string(ConfigurationFault::Kind kind);
 
 struct UpstreamSnapshot {
-    /// Each with the version of its last change.
+    /// All listed upstreams, each with the version of its last change.
     std::vector<UpstreamChange> listed;
     std::int64_t position = 0;
 };
@@ -60,9 +60,9 @@
     std::int64_t position = 0;
 };
 
-/// The port to what the platform keeps: the configuration and the upstreams' own entries.
-/// Errors: Unreachable, Unavailable, InDoubt (no answer came), Malformed; a watch also HistoryGone, after
-/// which the whole is read again.
+/// Interface to the registry, which holds the configuration and the entries of the upstreams.
+/// Errors: Unreachable, Unavailable, InDoubt (no answer), Malformed; a watch can also fail with HistoryGone, after which the
+/// caller has to read everything again.
 class RegistryPort {
 public:
     virtual ~RegistryPort() = default;
--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view CONFIGURATION_SERVICE = "config";
 constexpr std::string_view NEWS_SERVICE_PREFIX = "registry-news@";
 constexpr Duration FETCH_TIMEOUT = milliseconds(1000);
-/// As long as the registry's answers may be.
+/// The same limit as for the registry's answers.
 constexpr std::size_t LONGEST_CONFIGURATION = 4UL * 1024 * 1024;
 
 PeerNewsTracker::OwnSource source_of(bool follows)
@@ -74,7 +74,7 @@
 
 void RegistryRelay::tell()
 {
-    // A watcher that does not hear of the registry says nothing, so that others take over.
+    // A watcher that receives no updates from the registry publishes nothing, so that other VMs take over.
     if (this->plan.listeners().empty() || !this->watches() || !this->hooks.follows_upstreams() || !this->hooks.follows_configuration())
         return;
     auto const since = this->told_version;
@@ -91,7 +91,7 @@
         write_listing(listing, *content);
         content->set_since(since);
     } else {
-        // Whoever has less than this asks for what it lacks.
+        // Announces the version only; a VM with an older list fetches the difference.
         content->set_version(listing.version);
         content->set_only_changes(true);
         content->set_since(listing.version);
@@ -112,7 +112,8 @@
     auto const endpoint = this->kernel.directory().resolve_on(news.vm(), CONFIGURATION_SERVICE);
     if (!endpoint)
         return;
-    // From its own watcher a VM takes it at once; another one is asked where that one does not tell in time.
+    // A new version announced by the assigned watcher is fetched at once, from another watcher only if the assigned one is
+    // late.
     auto const source = news.vm() == this->plan.own_watcher() && !this->watches() ? PeerNewsTracker::OwnSource::Away : this->configuration_source();
     if (this->configuration_news.should_fetch(news.configuration_version(), this->hooks.configuration_version(), source, now))
         this->fetch_configuration(*endpoint);
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -13,24 +13,24 @@
 
 namespace Spurtide {
 
-/// What the VMs tell each other of the registry's contents: any VM hands the configuration and the list of upstreams on
-/// to one that asks, and in larger data centres a few VMs watch the registry and tell the others: changes of the list
-/// themselves, of the configuration its version, since it is long and asked for once by each VM.
+/// Distributes the registry's contents among the VMs. Any VM serves the configuration and the list of upstreams to peers that
+/// request them. In larger data centres only a few VMs watch the registry and publish updates to the others: of the list, the
+/// changes themselves; of the configuration, only its version, since it is large and each VM fetches it once.
 class RegistryRelay {
 public:
     struct Hooks {
-        /// A peer handed on the configuration.
+        /// The configuration was received from a peer.
         std::function<void(ConfigurationDocument const&)> on_configuration;
-        /// A peer told of evacuations.
+        /// Evacuations were received from a peer.
         std::function<void(EvacuationNews const&)> on_evacuations = [](auto const&) {};
-        /// The list of upstreams is another one.
+        /// The list of upstreams has changed.
         std::function<void()> on_upstreams;
-        /// That of the configuration in force; 0 before the first.
+        /// The version of the configuration in force; 0 before the first.
         std::function<std::int64_t()> configuration_version;
-        /// Whether this VM itself hears of news from the registry.
+        /// Whether this VM itself receives updates from the registry.
         std::function<bool()> follows_configuration;
         std::function<bool()> follows_upstreams;
-        /// Whether any other VM answered lately.
+        /// Whether any other VM has answered recently.
         std::function<WatchPlan::Company()> company = [] { return WatchPlan::Company::Others; };
     };
 
@@ -41,30 +41,30 @@
 
     RegistryRelay(Options options, Kernel& kernel, UpstreamList& upstreams, Hooks hooks);
 
-    /// Makes the services of the relay known. Call before the kernel starts.
+    /// Registers the services. Call before the kernel starts.
     void host();
     void start();
-    /// Keeps the configuration in force for peers that ask.
+    /// Sets the configuration that is served to peers.
     void keep(ConfigurationDocument kept);
 
-    /// A peer told that it has a newer configuration, or a newer list.
+    /// A peer announced its version of the configuration or of the list; a newer one may be fetched from it.
     void hear_of_configuration(std::string const& endpoint, std::int64_t version);
     void hear_of_upstreams(std::string const& endpoint, std::int64_t version);
 
-    /// The service by which the VMs of this data centre find each other.
+    /// The service by which the VMs of this data centre discover each other.
     std::string const& service() const { return this->news_service; }
-    /// The data centre of a VM, by the services that it hosts; empty where none of them tells.
+    /// The data centre of a VM, derived from the services that it hosts; empty if unknown.
     static std::string data_centre_of(MemberRecord const& member);
 
-    /// Whether this VM has to watch the registry itself.
+    /// Whether this VM should watch the registry itself.
     bool watches() const;
-    /// Whether another VM that hears of the registry told of it lately.
+    /// Whether a VM that follows the registry has recently published to this one.
     bool is_told() const;
-    /// How long this VM gathers news, where they have to be in force within the given time.
+    /// How long this VM collects updates into a batch if they have to be in force within the given time.
     Duration gathering(Duration news_time) const { return this->plan.gathering(news_time); }
-    /// The longest pause between two tries of this VM while the registry is away.
+    /// The longest pause between retries of this VM while the registry is unavailable.
     Duration longest_pause(Duration usual) const { return this->plan.longest_pause(usual); }
-    /// Tells the news, where it is this VM that watches for others.
+    /// Publishes updates to the VMs that rely on this one for them.
     void tell();
 
 private:
@@ -84,13 +84,13 @@
     Kernel& kernel;
     UpstreamList& upstreams;
     Hooks hooks;
-    /// VMs of one data centre find each other by this name.
+    /// The VMs of one data centre discover each other by this name.
     std::string news_service;
     WatchPlan plan;
     PeerNewsTracker configuration_news { PeerNewsTracker::Options {} };
     PeerNewsTracker upstreams_news { PeerNewsTracker::Options {} };
     ConfigurationDocument document;
-    /// The same for peers; empty until one asks.
+    /// The compressed document for peers; empty until the first request.
     std::string compressed;
     std::int64_t told_version = 0;
 };
--- a/Libraries/LibRouter/RoleKeeper.cpp
+++ b/Libraries/LibRouter/RoleKeeper.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::string_view LEASE = "roles";
-/// An engine that took an order and does not show its new role by then is used as what it says it is.
+/// An engine that accepted an order but does not report its new role within this time is used in the role that it reports.
 constexpr Duration LONGEST_CHANGE = seconds(20);
 
 std::string_view role_name(EngineRole role) { return role == EngineRole::Prefill ? "prefill" : "decode"; }
@@ -78,7 +78,7 @@
         std::vector<RoleCandidate> candidates;
         EngineCapacity capacity { 0, 0, 0, Duration::zero(), EngineCapacity::Source::Assumed };
         for (auto const& engine : engines) {
-            // Those that change are told to be leaving by this process itself.
+            // Engines that change their role are reported as leaving by this process itself.
             if (engine.is_leaving && !this->is_changing(engine.name))
                 continue;
             candidates.push_back({ engine.name, engine.role, engine.work, engine.data_centre, engine.is_failing });
@@ -105,7 +105,7 @@
     if (step == LeaseTerm::Step::Use)
         co_return true;
     if (step == LeaseTerm::Step::Wait) {
-        // The row may have been given up or renewed meanwhile.
+        // The row may be released or renewed during the pause.
         co_await this->pause(this->options.pause_after_failure);
         this->lease.note_write_failed();
         co_return false;
@@ -114,7 +114,7 @@
     if (step == LeaseTerm::Step::Read) {
         auto const row = co_await this->port.read_lease(name);
         if (row.is_error()) {
-            LogLine("lease_unread").with("error", to_string(row.error()));
+            LogLine("lease_read_failed").with("error", to_string(row.error()));
             co_await this->pause(this->options.pause_after_failure);
             co_return false;
         }
@@ -124,13 +124,13 @@
     this->lease.note_write_sent(monotonic_now());
     auto const written = co_await this->port.write_lease(name, this->lease.holder(), this->lease.expected_version());
     if (written.is_error()) {
-        LogLine("lease_not_written").with("error", to_string(written.error())).with("expected_version", this->lease.expected_version());
+        LogLine("lease_write_failed").with("error", to_string(written.error())).with("expected_version", this->lease.expected_version());
         this->lease.note_write_failed();
         co_await this->pause(this->options.pause_after_failure);
         co_return false;
     }
     this->lease.note_written(written.value(), monotonic_now());
-    LogLine("lease_held").with("holder", this->lease.holder()).with("fence", this->lease.fence());
+    LogLine("lease_acquired").with("holder", this->lease.holder()).with("fence", this->lease.fence());
     co_return this->lease.is_held(monotonic_now() + this->options.order_timeout);
 }
 
@@ -146,12 +146,12 @@
     auto const status = co_await this->ask_status(*address);
     bool const may_order = status && !status->is_under_order && status->role != due.change.role;
     if (!may_order) {
-        LogLine("role_not_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("reason", !status ? "no_status" : status->is_under_order ? "under_order"
-                                                                                                                                                                             : "has_it");
+        LogLine("role_order_skipped").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("reason", !status ? "no_status" : status->is_under_order ? "under_order"
+                                                                                                                                                                               : "has_it");
         balancer.note_refused(due.change.engine, monotonic_now());
         co_return;
     }
-    // The lease may have come near its end while the engine was asked.
+    // The lease may be about to expire after the status request.
     if (!this->lease.is_held(monotonic_now() + this->options.order_timeout) || !this->hooks.is_keeper())
         co_return;
     RoleOrder order;
@@ -169,7 +169,7 @@
         this->accepted.insert_or_assign(due.change.engine, Accepted { due.change.role, now });
         this->hooks.on_change();
     }
-    // NOTE: An order without an answer may be carried out yet, so the balancer goes on to count it.
+    // NOTE: An order without an answer may still be executed, so the balancer keeps counting it.
 }
 
 asio::awaitable<std::optional<EngineStatus>> RoleKeeper::ask_status(Address address)
@@ -186,11 +186,11 @@
     co_return status.value();
 }
 
-// The answer's status; 0 where none came.
+// Returns the status of the answer; 0 if there was none.
 asio::awaitable<int> RoleKeeper::send_order(Address address, RoleOrder order)
 {
     ConnectionPool::Call options;
-    // An order that waits in a connection that rested for long might arrive when the lease is over.
+    // On a connection that was idle for long, the order could be delayed until after the lease has expired.
     options.freshness = ConnectionPool::Freshness::Recent;
     options.timeout = this->options.order_timeout;
     options.may_send = [this] { return this->lease.is_held(monotonic_now()); };
--- a/Libraries/LibRouter/RoleKeeper.h
+++ b/Libraries/LibRouter/RoleKeeper.h
@@ -14,45 +14,46 @@
 
 namespace Spurtide {
 
-/// Gives engines the roles that the requests need, while this VM keeps the engines and holds the lease for it.
+/// Assigns roles to engines according to the load, while this VM manages the engines and holds the lease for role changes.
 class RoleKeeper {
 public:
     struct Options {
         RoleBalancer::Options balancer {};
         LeaseTerm::Options lease {};
-        /// How often it is looked whether a change is due.
+        /// How often to check whether a role change is due.
         Duration look = milliseconds(250);
-        /// A VM that has just become the keeper may be so only because it has not heard of others yet.
+        /// How long this VM has to be the keeper before it orders changes: a VM that has just started may take itself for the
+        /// keeper only because it has not discovered the others yet.
         Duration keeper_for = milliseconds(1200);
-        /// Time that an order has to be answered in; the lease has to last for it.
+        /// Timeout of an order; the lease has to last at least this long.
         Duration order_timeout = milliseconds(700);
-        /// After the store or an engine did not answer as it should.
+        /// Delay after the store or an engine failed to answer.
         Duration pause_after_failure = milliseconds(800);
     };
 
     struct Hooks {
-        /// Whether this VM keeps the engines now, and goes on.
+        /// Whether this VM is the keeper of the engines and is not stopping.
         std::function<bool()> is_keeper;
         std::function<std::map<std::string, std::vector<CellScheduler::EngineState>>()> engine_states;
-        /// What is_changing() says is other than before.
+        /// The result of is_changing() has changed for an engine.
         std::function<void()> on_change;
     };
 
-    /// The holder's name is that of one start of this process.
+    /// The holder's name is the incarnation of this process.
     RoleKeeper(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks);
 
     void start();
-    /// A request came that asks for a place the first time.
+    /// Records a request that asks for placement for the first time.
     void note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens);
-    /// Whether the engine took an order of this VM and does not work in its new role yet.
+    /// Whether the engine accepted an order from this VM and does not yet serve in its new role.
     bool is_changing(std::string_view engine) const { return this->accepted.contains(engine); }
 
 private:
-    /// A change and what is needed to order it.
+    /// A role change that is due.
     struct Due {
         std::string model;
         RoleChange change;
-        /// What decided it, for the log.
+        /// The inputs of the decision, for the log.
         std::string because;
     };
 
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-/// Of what the first in the ranking gives. Both may give turns until all have heard which of them is gone.
+/// The share of the limit that a VM grants while it is not first in the ranking. Both VMs may grant turns until all VMs know
+/// that the first one is gone.
 constexpr double STAND_IN_PART = 0.25;
-/// Requests a second that go to an upstream whatever it names: without any nobody would hear that its need is over.
+/// Requests per second that are sent to an upstream even if its limit is lower: only an answer shows that the limit is lifted.
 constexpr double SLOWEST_RATE = 0.25;
 
 }
@@ -63,7 +64,7 @@
     if (!this->hooks.is_listed(statement.upstream()))
         return;
     if (take_statement(statement, this->book, monotonic_now()) == UpstreamLimitBook::Change::InForce)
-        LogLine("upstream_limit_heard").with("upstream", statement.upstream()).with("rate", statement.rate()).with("age_ms", statement.age_microseconds() / 1000);
+        LogLine("upstream_limit_received").with("upstream", statement.upstream()).with("rate", statement.rate()).with("age_ms", statement.age_microseconds() / 1000);
 }
 
 void UpstreamLimitCounter::note(wire::UpstreamLimitStatements const& statements)
@@ -88,7 +89,7 @@
 
 void UpstreamLimitCounter::answer_turn(wire::UpstreamTurnAsk const& message, Kernel::Responder const& respond)
 {
-    // Without the limit that the ask names, turns would be given without end.
+    // The limit in the request would be dropped for an unlisted upstream, and turns would be granted without any limit.
     if (!this->hooks.is_listed(message.statement().upstream())) {
         respond(error_reply(wire::ERROR_CODE_NOT_READY));
         return;
--- a/Libraries/LibRouter/UpstreamLimitCounter.h
+++ b/Libraries/LibRouter/UpstreamLimitCounter.h
@@ -17,51 +17,52 @@
 
 constexpr std::string_view UPSTREAM_LIMIT_SERVICE = "upstream-limit";
 
-/// Hosts the service that gives all VMs their turns at upstreams that named a limit. Every VM hosts one; each upstream's turns
-/// are given by the VM that the ranking names first for it. Where VMs do not agree on that one, turns stay inside the limit by
-/// parts:
-/// - A VM that is asked and is not the first by its own ranking stands in with a quarter of the limit.
-/// - Whoever gives turns gives the part of the limit that its reachable VMs are of all, so data centres that are cut off
-///   from each other stay inside the limit together.
-/// - A VM that reaches none gives turns to itself, with one VM's part.
+/// Hosts the service that grants turns, each of which permits one request, at upstreams with a rate limit. All VMs host it;
+/// the first VM in an upstream's ranking grants the turns there. While VMs disagree on the ranking, partial limits keep the
+/// total within the limit:
+/// - A VM that is asked but is not first in its own ranking grants a quarter of the limit.
+/// - A granting VM grants the fraction of the limit that corresponds to the fraction of VMs that it can reach, so that data
+///   centres that are partitioned from each other stay within the limit together.
+/// - A VM that reaches no granting VM grants turns to itself, with the share of one VM.
 class UpstreamLimitCounter {
 public:
     struct Hooks {
-        /// Whether this VM has met most of the others since its start.
+        /// Whether this VM has discovered most of the others since its start.
         std::function<bool()> is_settled = [] { return true; };
         std::function<VirtualMachineCount()> virtual_machines = [] { return VirtualMachineCount { 1, 0 }; };
-        /// Whether this VM knows the upstream; what others tell of one that is gone would be kept and told on for ever.
+        /// Whether this VM lists the upstream. Without this check, the limits of removed upstreams would be exchanged between
+        /// VMs forever.
         std::function<bool(std::string_view)> is_listed = [](std::string_view) { return true; };
     };
 
     enum class Standing {
-        /// By the ranking, first or standing in.
+        /// Chosen by the ranking, as the first VM or as a fallback.
         Ranked,
-        /// Nobody else answered.
+        /// No other VM answered.
         Alone,
     };
 
     /// A request that asks for a turn at an upstream.
     struct Ask {
         std::string upstream;
-        /// How long the request may wait for its turn; zero where it would rather go elsewhere.
+        /// How long the request may wait for its turn; zero if it should go to another upstream instead.
         Duration longest_wait {};
-        /// How long its caller can wait to come back; zero where it does not have to.
+        /// How long the caller can delay a retry; zero if it does not have to retry.
         Duration patience {};
     };
 
-    /// The book is this VM's, and takes what others tell.
+    /// The book is the one of this VM; limits received from other VMs are added to it.
     UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks);
 
-    /// Makes the service known. Call before the kernel starts.
+    /// Registers the service. Call before the kernel starts.
     void host();
-    /// Empty while this VM does not know the others yet: it would give turns beside the one that does.
+    /// Empty while this VM has not discovered the others: it might grant turns in parallel with another VM.
     std::optional<UpstreamPacer::Turn> take(Ask const& ask, Standing standing);
     void give_back(std::string_view upstream);
-    /// Takes what another VM tells.
+    /// Adds limits that were received from another VM.
     void note(wire::UpstreamLimitStatement const& statement);
     void note(wire::UpstreamLimitStatements const& statements);
-    /// Forgets upstreams that the book has no limit of.
+    /// Removes the state of upstreams without a limit in the book.
     void forget_unlimited();
     bool is_settled() const { return this->hooks.is_settled(); }
 
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The VM that counts and the one that stands in for it.
+/// The counting VM and one fallback.
 constexpr std::size_t MOST_ASKED = 2;
 
 }
@@ -65,7 +65,7 @@
         if (turn)
             co_return *turn;
     }
-    LogLine("upstream_limit_counted_alone").with("upstream", ask.upstream);
+    LogLine("upstream_limit_counted_locally").with("upstream", ask.upstream);
     auto const alone = this->own_counter.take(ask, UpstreamLimitCounter::Standing::Alone);
     co_return alone.value_or(Turn { Turn::Outcome::Denied, this->options.unsettled_pause });
 }
@@ -81,10 +81,10 @@
     auto const answered = co_await call_service(this->kernel, this->ranking.endpoint_of(virtual_machine), std::move(envelope), answer_patience);
     if (answered.is_error()) {
         auto const& error = answered.error();
-        // One that says that it is not ready is there; keepers of other things need not avoid it.
+        // A VM that answers with an error is alive, so it stays in the ranking for other keys.
         if (error.kind != WireErrorKind::Remote)
             this->ranking.note_silent(virtual_machine);
-        LogLine("upstream_limit_counter_silent").with("vm", virtual_machine).with("upstream", ask.upstream).with("error", to_string(error.kind));
+        LogLine("upstream_limit_counter_unresponsive").with("vm", virtual_machine).with("upstream", ask.upstream).with("error", to_string(error.kind));
         co_return std::nullopt;
     }
     auto const& reply = answered.value();
--- a/Libraries/LibRouter/UpstreamLimiter.h
+++ b/Libraries/LibRouter/UpstreamLimiter.h
@@ -12,46 +12,47 @@
 
 namespace Spurtide {
 
-/// Keeps this VM's requests within the limits that upstreams name for all VMs together. Before a request goes to such an
-/// upstream it asks for a turn of the VM that counts for it, a message there and back. Where that VM does not answer the next
-/// one stands in, then this VM counts for itself.
+/// Keeps the requests of this VM within the rate limits that upstreams set for all VMs together. Before a request is sent to
+/// such an upstream, a turn is requested from the VM that counts for the upstream, which takes one round trip. If that VM does
+/// not answer, the next one in the ranking is asked, and then this VM counts for itself.
 class UpstreamLimiter {
 public:
     struct Options {
-        /// Longest wait for one VM's answer.
+        /// Timeout for the answer of one VM.
         Duration answer_time = milliseconds(150);
-        /// Silence after which its process is asked whether it is there.
+        /// Time without an answer after which the process is probed.
         Duration silence = milliseconds(50);
-        /// A VM that was denied a turn does not ask for another one for at most so long, while others can take its requests.
+        /// The longest time for which a VM that was denied a turn requests no other one, while other upstreams can take its
+        /// requests.
         Duration longest_pause = milliseconds(250);
-        /// When a VM that does not know the others yet looks again.
+        /// Delay before a VM that has not yet discovered the others checks again.
         Duration unsettled_pause = milliseconds(100);
-        /// Longest wait for what another VM knows.
+        /// Timeout for fetching the limits known to another VM.
         Duration fetch_timeout = milliseconds(500);
     };
     using Ask = UpstreamLimitCounter::Ask;
     using Turn = UpstreamPacer::Turn;
 
-    /// The book is this VM's.
+    /// The book is the one of this VM.
     UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter);
 
-    /// Takes what an answer said, and tells the VM that counts where that changes something.
+    /// Records the limit stated in an upstream's answer, and notifies the counting VM if the limit changed.
     UpstreamLimitBook::Change note(std::string_view upstream, UpstreamLimitStatement const& statement);
     std::optional<double> rate_of(std::string_view upstream) const { return this->book.rate_of(upstream); }
 
-    /// Granted at once where the upstream has no limit.
+    /// Requests a turn; granted at once if the upstream has no limit.
     asio::awaitable<Turn> take(Ask ask);
-    /// A granted request was not sent.
+    /// Returns the turn of a request that was not sent.
     void give_back(std::string const& upstream);
 
-    /// Time until it makes sense to ask for a turn again; zero where a request may ask now.
+    /// Time until a turn should be requested again; zero if it may be requested now.
     Duration pause_left(std::string_view upstream, MonotonicTime now) const;
-    /// Of the upstreams whose limits are known here.
+    /// Digest of the limits known to this VM.
     std::uint64_t digest() const { return this->book.digest(); }
-    /// Another VM knows of limits of other upstreams; what it knows is asked for.
+    /// Handles the digest of another VM; fetches that VM's limits if it differs from this one's.
     void hear_of(std::string const& endpoint, std::uint64_t other);
 
-    /// Forgets upstreams that have no limit any more.
+    /// Removes the state of upstreams that no longer have a limit.
     void forget_unlimited();
 
 private:
