--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -14,7 +14,7 @@
 
 RequestFingerprint request_named(std::string_view body) { return RequestFingerprint::of({ "POST", "h.example", "/x", "", body }); }
 
-/// The rows of the platform's store, in memory.
+/// An in-memory platform store.
 class StoredQuarantine final : public QuarantinePort {
 public:
     asio::awaitable<Result<std::vector<QuarantineEntry>, PlatformError>> read_quarantine() override
@@ -38,7 +38,7 @@
     bool is_away = false;
 };
 
-/// One of several VMs that report and analyze.
+/// One of several VMs that report and analyze crashes.
 struct AnalyzingVirtualMachine {
     AnalyzingVirtualMachine(asio::io_context& loop, std::string const& name, QuarantinePort& store)
         : kernel(make_loop_kernel(loop, name))
@@ -48,7 +48,7 @@
         , reporter(CrashReporter::Options {}, *this->kernel, this->ranking, this->quarantine, this->analyzer)
     {
         this->reporter.host();
-        // What the ranking goes by.
+        // The ranking considers only VMs that host this service.
         this->kernel->host(std::string(PLACEMENT_SERVICE), [](wire::Envelope const&, Kernel::Responder const&) {});
         this->kernel->start();
     }
@@ -77,7 +77,7 @@
     }
     ~ReporterTest() { this->loop.stop(); }
 
-    /// All that are there know of each other.
+    /// Makes all VMs known to each other.
     void meet()
     {
         std::vector<MemberRecord> members;
@@ -124,7 +124,7 @@
 
 }
 
-TEST_CASE("Ends that different VMs saw are counted together, and all VMs keep the cause out", "[crashes]")
+TEST_CASE("Crashes that different VMs report are counted together, and all VMs quarantine the cause", "[crashes]")
 {
     ReporterTest test(4);
     CHECK(test.report(0, "cause", "i-1") == CrashVerdict::MayGoOn);
@@ -134,7 +134,7 @@
     CHECK(run_loop_until(test.loop, [&] { return test.store.rows.size() == 1; }));
 }
 
-TEST_CASE("Who ran beside the cause may go on, whichever VM tells of it first", "[crashes]")
+TEST_CASE("A request that ran beside the cause may be retried, whichever VM reports the crash first", "[crashes]")
 {
     ReporterTest test(3);
     for (auto const* upstream : { "i-1", "i-2" }) {
@@ -155,7 +155,7 @@
     CHECK_FALSE(test.machines[0]->quarantine.held_for(request_named("victim")));
 }
 
-TEST_CASE("What was reported outlasts the VM that judged first", "[crashes][kill]")
+TEST_CASE("Crash reports survive the loss of the first analyzer", "[crashes][kill]")
 {
     ReporterTest test(4);
     auto const analyzers = test.machines[0]->ranking.names(std::string(QUARANTINE_SERVICE) + "/" + SERVICE);
@@ -163,12 +163,12 @@
     auto const reporter = (first + 1) % 4;
     test.report(reporter, "cause", "i-1");
     test.report(reporter, "cause", "i-2");
-    // It is gone, and nobody has heard so yet.
+    // The other VMs do not know yet that it is gone.
     test.machines[first]->kernel->stop();
     CHECK(test.report(reporter, "cause", "i-3") == CrashVerdict::Quarantined);
 }
 
-TEST_CASE("A VM whose process starts anew, and one that missed the news, learn of the cause by a heartbeat's digest", "[crashes]")
+TEST_CASE("A VM that restarted or missed the broadcast learns of the cause from the digest in a heartbeat", "[crashes]")
 {
     ReporterTest test(2);
     for (auto const* upstream : { "i-1", "i-2", "i-3" })
@@ -182,7 +182,7 @@
     CHECK(fresh.quarantine.digest() == test.machines[0]->quarantine.digest());
 }
 
-TEST_CASE("After all processes started again one more end is enough, by what the store keeps", "[crashes][kill]")
+TEST_CASE("After a restart of all processes one further crash quarantines a request that the store lists", "[crashes][kill]")
 {
     ReporterTest before(2);
     for (auto const* upstream : { "i-1", "i-2", "i-3" })
@@ -194,7 +194,7 @@
     CHECK(after.report(0, "another", "i-4") == CrashVerdict::MayGoOn);
 }
 
-TEST_CASE("A request whose time is over is tried again, and one end keeps it out for longer", "[crashes]")
+TEST_CASE("A request whose quarantine has expired may be sent, and one further crash quarantines it for longer", "[crashes]")
 {
     ReporterTest test(2);
     auto const ended = unix_milliseconds() - 1000;
@@ -204,7 +204,7 @@
     CHECK(test.machines[0]->quarantine.held_for(request_named("cause")) > seconds(3600));
 }
 
-TEST_CASE("While the store is away causes are found, and written once it is back", "[crashes][store]")
+TEST_CASE("While the store is unavailable causes are still found, and are written once it is available again", "[crashes][store]")
 {
     ReporterTest test(2);
     test.store.is_away = true;
@@ -215,11 +215,11 @@
     CHECK(test.store.rows.empty());
     test.store.is_away = false;
     CHECK(run_loop_until(test.loop, [&] { return test.store.rows.size() == 1; }));
-    // Ends come in series: the store is asked seldom.
+    // One read of the store serves a series of crashes.
     CHECK(test.store.reads <= 4);
 }
 
-TEST_CASE("A request that many send alike, and that ends well, is no cause", "[crashes]")
+TEST_CASE("A request that many callers send identically and that completes is not taken for a cause", "[crashes]")
 {
     ReporterTest test(2);
     test.machines[0]->reporter.note_completed(SERVICE, request_named("shared"));
@@ -227,7 +227,7 @@
         CHECK(test.report(0, "shared", upstream) == CrashVerdict::MayGoOn);
 }
 
-TEST_CASE("A victim that ended well elsewhere is not blamed for what it met before", "[crashes]")
+TEST_CASE("A request that completed elsewhere is not blamed for earlier crashes beside it", "[crashes]")
 {
     ReporterTest test(2);
     test.report(0, "victim", "i-1");
--- a/Tests/LibRouter/TestQuotaClient.cpp
+++ b/Tests/LibRouter/TestQuotaClient.cpp
@@ -23,7 +23,7 @@
     return std::make_shared<RouteTable const>(std::move(configuration));
 }
 
-/// One of two VMs, each of which may count for both.
+/// One of two VMs, either of which can count for both.
 struct QuotaVirtualMachine {
     QuotaVirtualMachine(asio::io_context& loop, std::string const& name, std::shared_ptr<RouteTable const> routes)
         : kernel(make_loop_kernel(loop, name))
@@ -35,7 +35,7 @@
         hooks.virtual_machines = [this] { return this->seen; };
         this->counter = std::make_unique<QuotaCounter>(QuotaLedger::Options {}, *this->kernel, this->ranking, std::move(hooks));
         this->counter->host();
-        // What the ranking goes by.
+        // The ranking considers only VMs that host this service.
         this->kernel->host(std::string(PLACEMENT_SERVICE), [](wire::Envelope const&, Kernel::Responder const&) {});
         QuotaClient::Options options;
         options.poll = milliseconds(5);
@@ -73,7 +73,7 @@
     }
     ~QuotaTest() { this->loop.stop(); }
 
-    /// Takes the costs at the same time; gives how many were counted.
+    /// Requests all costs concurrently; returns how many were counted.
     int take(std::vector<double> const& costs)
     {
         int ended = 0;
@@ -97,48 +97,47 @@
 
 }
 
-TEST_CASE("Requests that ask at the same time are each counted, whatever credit lies there", "[quota][burst]")
+TEST_CASE("Concurrent requests are each counted, whatever local credit is left", "[quota][burst]")
 {
     QuotaTest test(100'000);
-    // Given back: less than the next requests need, which ask for it together.
+    // The refunded credit is less than the next, concurrent requests need together.
     REQUIRE(test.take({ 150 }) == 1);
     test.asking->client->give_back(ACCOUNT, 150);
     CHECK(test.take({ 200, 200, 200, 200, 200 }) == 5);
 }
 
-TEST_CASE("Requests of both VMs together stay inside the limit", "[quota]")
+TEST_CASE("The requests of both VMs together stay within the limit", "[quota]")
 {
     QuotaTest test(100);
-    // 900 in a window, 400 of them at once.
+    // The limit is 900 per window with a burst of 400.
     CHECK(test.take({ 200, 200, 200 }) == 2);
     std::swap(test.asking, test.counting);
     CHECK(test.take({ 200 }) == 0);
 }
 
-TEST_CASE("Where the counting VM does not answer the next one counts", "[quota][kill]")
+TEST_CASE("If the counting VM does not answer, the next one counts", "[quota][kill]")
 {
     QuotaTest test(100'000);
     test.counting->kernel->stop();
     CHECK(test.take({ 200 }) == 1);
 }
 
-TEST_CASE("A VM that counts for itself after another knows what it used itself", "[quota][kill][cut]")
+TEST_CASE("A VM that takes over the counting knows its own usage", "[quota][kill][cut]")
 {
     QuotaTest test(100);
-    // 900 in a window, 400 of them at once. Alone of two it has 450, of which 400 are used.
+    // The limit is 900 per window with a burst of 400. One VM of two may use 450, of which 400 are used.
     REQUIRE(test.take({ 200, 200 }) == 2);
     test.counting->kernel->stop();
     test.asking->seen = { 1, 1, 0 };
     CHECK(test.take({ 200 }) == 0);
 }
 
-// Seen: hot accounts got 1.02 to 1.06 times what operators put up with, in a window in which a data centre was cut off.
-// How it came about: an account used its window up in two seconds. Then a data centre was cut off, and a VM in it began to
-// count the account there. It knew what its own side had used, took that for its part of what all had, and gave out the rest of
-// its part beside a window that was used up.
-// The cause: what an account has used was known to its counter alone, so a successor on another side began with a guess.
-// What proved it: by second and data centre, the cut-off side went on with three times its part of the rate for four seconds.
-TEST_CASE("What others used of an account counts on a side that is cut off from them", "[quota][cut]")
+// Guards against granting more than the limit when a data centre is partitioned after an account used up its window. When only
+// the counting VM knew the usage of all VMs, a VM that took over the counting in the partitioned data centre knew just the
+// usage of its own side, assumed that the other side had used a proportional amount, and granted the rest of its share of the
+// exhausted window. That side kept three times its share of the rate for four seconds, and busy accounts reached 1.02 to 1.06
+// times the tolerated maximum.
+TEST_CASE("The usage of VMs beyond a network partition still counts against the limit", "[quota][cut]")
 {
     QuotaTest test(1, 1000);
     auto* const other = test.counting;
@@ -148,14 +147,14 @@
     REQUIRE(test.take({ 200 }) == 1);
     other->kernel->stop();
     test.asking->seen = { 1, 1, 0 };
-    // Of 1008 in a window 900 are used. Its half of them, less its own 200, would be 304.
+    // 900 of the 1008 per window are used. Its half of 1008, less its own 200, would be 304.
     CHECK(test.take({ 250 }) == 0);
-    // Of the 108 that are left the other side may use its half as well.
+    // The other side may use its half of the remaining 108 as well.
     CHECK(test.take({ 100 }) == 0);
     CHECK(test.take({ 50 }) == 1);
 }
 
-TEST_CASE("Requests wait for the VMs to meet after a start", "[quota][kill]")
+TEST_CASE("After a start, requests wait until the VMs have discovered each other", "[quota][kill]")
 {
     QuotaTest test(100'000);
     test.counting->is_settled = false;
--- a/Tests/LibRouter/TestRegistryRelay.cpp
+++ b/Tests/LibRouter/TestRegistryRelay.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// One VM as far as the relay goes; what would come from the registry is set by the test.
+/// A VM reduced to its relay; the test sets what the registry would provide.
 struct RelayVirtualMachine {
     RelayVirtualMachine(asio::io_context& loop, std::string const& name)
     {
@@ -45,7 +45,7 @@
     std::unique_ptr<Kernel> kernel;
     UpstreamList upstreams { UpstreamList::Options {} };
     std::int64_t configuration = 0;
-    /// The version of what a peer hands on.
+    /// The version of the configuration that a peer serves.
     std::int64_t takes_configuration = 0;
     bool follows = true;
     bool follows_configuration = true;
@@ -54,7 +54,7 @@
     std::unique_ptr<RegistryRelay> relay;
 };
 
-/// Three VMs of a data centre on one loop, of which one watches.
+/// Three VMs of one data centre on one loop, one of which watches the registry.
 struct RelayTest {
     RelayTest()
     {
@@ -87,7 +87,7 @@
 
 }
 
-TEST_CASE("What the watcher hears its listeners hear, and they stop to watch", "[leaving]")
+TEST_CASE("Listeners receive the updates of their watcher and stop watching", "[leaving]")
 {
     RelayTest test;
     test.watcher[0]->change("a", 3);
@@ -96,7 +96,7 @@
         CHECK(listener->relay->watches());
     REQUIRE(test.run_until([&] { return !test.listeners[0]->relay->watches() && !test.listeners[1]->relay->watches(); }));
     CHECK(test.watcher[0]->relay->watches());
-    // One that had nothing asked for what it lacked.
+    // Listeners without a list fetched the whole list.
     for (auto const* listener : test.listeners)
         CHECK(listener->upstreams.takes_work("a"));
     test.watcher[0]->change("b", 5);
@@ -110,7 +110,7 @@
     }
 }
 
-TEST_CASE("A watcher that does not hear of the registry says nothing, and its listeners watch again", "[platform-down]")
+TEST_CASE("A watcher without updates from the registry publishes nothing, and its listeners watch again", "[platform-down]")
 {
     RelayTest test;
     test.start();
@@ -119,7 +119,7 @@
     REQUIRE(test.run_until([&] { return test.listeners[0]->relay->watches() && test.listeners[1]->relay->watches(); }));
 }
 
-TEST_CASE("A VM without a source of its own takes from a peer what that one has", "[platform-down][config]")
+TEST_CASE("A VM that cannot follow the registry fetches the contents from a peer", "[platform-down][config]")
 {
     RelayTest test;
     auto& knows = *test.watcher[0];
@@ -134,7 +134,7 @@
     CHECK(lacks.configurations == std::vector<std::string> { "the configuration" });
 }
 
-TEST_CASE("A VM that hears of the registry itself asks a peer only for what does not come", "[config]")
+TEST_CASE("A VM that follows the registry fetches from a peer only what stays outstanding", "[config]")
 {
     RelayTest test;
     auto& knows = *test.watcher[0];
@@ -142,7 +142,7 @@
     knows.change("a", 3);
     lacks.relay->hear_of_upstreams(knows.kernel->endpoint(), 3);
     CHECK_FALSE(lacks.kernel->sent_traffic().contains("get_upstreams"));
-    // The next heartbeats tell it once more.
+    // The following heartbeats announce the version again.
     REQUIRE(test.run_until([&] {
         lacks.relay->hear_of_upstreams(knows.kernel->endpoint(), 3);
         return lacks.upstreams.takes_work("a");
@@ -150,7 +150,7 @@
     CHECK(lacks.kernel->sent_traffic().contains("get_upstreams"));
 }
 
-TEST_CASE("Listeners ask their watcher for a configuration once, and for none that they have", "[config]")
+TEST_CASE("Listeners fetch a configuration from their watcher once, and none that they already have", "[config]")
 {
     RelayTest test;
     auto& knows = *test.watcher[0];
@@ -167,7 +167,7 @@
         CHECK(listener->configurations == std::vector<std::string> { "the configuration" });
         CHECK(listener->kernel->sent_traffic().at("get_configuration").messages == 1);
     }
-    // The next one is asked for at once, at its first message.
+    // The next version is fetched at its first announcement.
     knows.configuration = 9;
     knows.relay->keep({ "the next one" });
     for (auto* listener : test.listeners)
@@ -178,7 +178,7 @@
         CHECK(listener->kernel->sent_traffic().at("get_configuration").messages == 2);
 }
 
-TEST_CASE("A watcher that follows a part of the registry alone tells nothing", "[config][platform-down]")
+TEST_CASE("A watcher that follows only a part of the registry publishes nothing", "[config][platform-down]")
 {
     RelayTest test;
     test.watcher[0]->follows_configuration = false;
--- a/Tests/LibRouter/TestUpstreamLimiter.cpp
+++ b/Tests/LibRouter/TestUpstreamLimiter.cpp
@@ -12,7 +12,7 @@
 
 constexpr auto UPSTREAM = "i-1";
 
-/// One of two VMs, each of which may count for both.
+/// One of two VMs, either of which can count for both.
 struct LimitingVirtualMachine {
     LimitingVirtualMachine(asio::io_context& loop, std::string const& name)
         : kernel(make_loop_kernel(loop, name))
@@ -24,7 +24,7 @@
         hooks.is_listed = [this](std::string_view) { return this->knows_upstream; };
         this->counter = std::make_unique<UpstreamLimitCounter>(*this->kernel, this->ranking, this->book, std::move(hooks));
         this->counter->host();
-        // What the ranking goes by.
+        // The ranking considers only VMs that host this service.
         this->kernel->host(std::string(PLACEMENT_SERVICE), [](wire::Envelope const&, Kernel::Responder const&) {});
         UpstreamLimiter::Options options;
         options.silence = milliseconds(20);
@@ -77,17 +77,17 @@
     LimitingVirtualMachine* asking = nullptr;
 };
 
-/// Turns that are waited for, so that tests see their order without waiting.
+/// Long enough for every turn to be granted, so that tests can compare the waits without sleeping.
 constexpr Duration LONG = seconds(600);
 
 bool is_granted(UpstreamLimiter::Turn const& turn) { return turn.outcome == UpstreamLimiter::Turn::Outcome::Granted; }
 
-/// The time between two turns that are taken one after the other.
+/// The time between two consecutive turns.
 double seconds_between(UpstreamLimiter::Turn const& first, UpstreamLimiter::Turn const& second) { return to_seconds(second.wait - first.wait); }
 
 }
 
-TEST_CASE("Both VMs take their turns at an upstream from the same row of turns", "[upstream-limit]")
+TEST_CASE("Both VMs share one sequence of turns at an upstream", "[upstream-limit]")
 {
     LimiterTest test;
     CHECK(is_granted(test.take(*test.asking)));
@@ -100,7 +100,7 @@
     CHECK(seconds_between(second, third) == Approx(2).margin(0.5));
 }
 
-TEST_CASE("The VM that counts learns of a limit from those who ask", "[upstream-limit]")
+TEST_CASE("The counting VM learns of a limit from turn requests", "[upstream-limit]")
 {
     LimiterTest test;
     test.asking->hear(0.5);
@@ -109,7 +109,7 @@
     CHECK(test.asking->limiter->pause_left(UPSTREAM, monotonic_now()) > Duration::zero());
 }
 
-TEST_CASE("That a limit is over is heard of by those who still ask for turns", "[upstream-limit]")
+TEST_CASE("A VM that still requests turns learns that the limit was lifted", "[upstream-limit]")
 {
     LimiterTest test;
     test.asking->hear(0.5);
@@ -121,7 +121,7 @@
     CHECK(test.asking->limiter->pause_left(UPSTREAM, monotonic_now()) == Duration::zero());
 }
 
-TEST_CASE("That a limit is over is told to the VM that counts", "[upstream-limit]")
+TEST_CASE("The counting VM is notified that a limit was lifted", "[upstream-limit]")
 {
     LimiterTest test;
     test.counting->hear(0.5);
@@ -130,7 +130,7 @@
     CHECK(run_loop_until(test.loop, [&] { return !test.counting->book.rate_of(UPSTREAM); }));
 }
 
-TEST_CASE("Where the VM that counts does not answer the next one counts, with a part of the limit", "[upstream-limit][kill]")
+TEST_CASE("If the counting VM does not answer, the next one counts with a part of the limit", "[upstream-limit][kill]")
 {
     LimiterTest test;
     test.asking->hear(0.5);
@@ -138,7 +138,7 @@
     auto const first = test.take(*test.asking, LONG);
     CHECK(is_granted(first));
     auto const second = test.take(*test.asking, LONG);
-    // By its ranking it is the first once the other was silent, and it still counts the other among the VMs.
+    // Once the other VM has failed to answer, this one is first in its own ranking, but still counts the other as live.
     CHECK(seconds_between(first, second) >= 1.9);
     test.asking->seen = { 1, 1 };
     auto const third = test.take(*test.asking, LONG);
@@ -146,7 +146,7 @@
     CHECK(seconds_between(third, fourth) == Approx(4).margin(0.5));
 }
 
-TEST_CASE("A VM that has just started takes no turns beside the one that counts", "[upstream-limit][kill]")
+TEST_CASE("A VM that has just started grants itself no turns in parallel with the counting VM", "[upstream-limit][kill]")
 {
     LimiterTest test;
     test.asking->hear(0.5);
@@ -156,7 +156,7 @@
     CHECK(is_granted(test.take(*test.asking, LONG)));
 }
 
-TEST_CASE("An upstream that takes nothing gets a request now and then, so that the end of its need is heard of", "[upstream-limit]")
+TEST_CASE("An upstream with a limit of zero still gets occasional requests, which show when the limit is lifted", "[upstream-limit]")
 {
     LimiterTest test;
     test.counting->hear(0.0);
@@ -166,7 +166,7 @@
     CHECK(seconds_between(first, second) == Approx(4).margin(1));
 }
 
-TEST_CASE("A turn that is given back is the next request's", "[upstream-limit]")
+TEST_CASE("A returned turn is granted to the next request", "[upstream-limit]")
 {
     LimiterTest test;
     test.asking->hear(0.5);
@@ -176,7 +176,7 @@
     CHECK(std::abs(seconds_between(first, second)) < 1);
 }
 
-TEST_CASE("Of two VMs whose digests differ both end with the newest that either knows", "[upstream-limit]")
+TEST_CASE("A VM whose digest differs from another's fetches the newest limits from it", "[upstream-limit]")
 {
     LimiterTest test;
     auto& one = *test.asking;
@@ -185,12 +185,12 @@
     other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return other.book.rate_of(UPSTREAM) == 0.5; }));
     one.book.take(UPSTREAM, { {}, monotonic_now() });
-    // One that has no limit may know that there is none any more.
+    // A VM without a limit may know that the limit was lifted.
     other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return !other.book.rate_of(UPSTREAM); }));
 }
 
-TEST_CASE("What is told of an upstream that is not listed is not kept", "[upstream-limit]")
+TEST_CASE("The limit of an upstream that is not listed is not stored", "[upstream-limit]")
 {
     LimiterTest test;
     test.counting->knows_upstream = false;
@@ -199,8 +199,9 @@
     CHECK_FALSE(test.counting->book.statement_of(UPSTREAM));
 }
 
-// Guards against turns that are given without end by a VM whose list of upstreams is behind.
-TEST_CASE("A VM that does not list an upstream gives no turns there beyond its limit", "[upstream-limit]")
+// Guards against a VM with an outdated list of upstreams that drops the limit in a turn request and grants turns without any
+// limit.
+TEST_CASE("A VM that does not list an upstream grants no turns there beyond its limit", "[upstream-limit]")
 {
     LimiterTest test;
     test.counting->knows_upstream = false;
