--- a/Libraries/LibRouter/PlacementClient.h
+++ b/Libraries/LibRouter/PlacementClient.h
@@ -6,7 +6,7 @@
 #include <LibAsync/Signal.h>
 #include <LibCore/Time.h>
 #include <LibDecision/CellScheduler.h>
-#include <LibRouter/KeeperRanking.h>
+#include <LibRouter/VirtualMachineRanking.h>
 #include <LibWire/Kernel.h>
 #include <asio.hpp>
 #include <functional>
@@ -72,7 +72,7 @@
 
     PlacementClient(Options options, Kernel& kernel);
     /// The order in which VMs are asked; shared with whoever else needs a keeper.
-    KeeperRanking& ranking() { return this->keepers; }
+    VirtualMachineRanking& ranking() { return this->keepers; }
 
     void start();
 
@@ -104,7 +104,7 @@
 
     Options options;
     Kernel& kernel;
-    KeeperRanking keepers;
+    VirtualMachineRanking keepers;
     std::map<std::string, Held> held;
     std::string last_keeper;
 };
--- a/Libraries/LibRouter/QuarantineKeeper.cpp
+++ b/Libraries/LibRouter/QuarantineKeeper.cpp
@@ -21,7 +21,7 @@
 
 }
 
-QuarantineKeeper::QuarantineKeeper(Options options, Kernel& kernel, KeeperRanking const& ranking, QuarantinePort& store, asio::io_context& loop)
+QuarantineKeeper::QuarantineKeeper(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
--- a/Libraries/LibRouter/QuarantineKeeper.h
+++ b/Libraries/LibRouter/QuarantineKeeper.h
@@ -4,8 +4,8 @@
 #pragma once
 
 #include <LibDecision/Quarantine.h>
-#include <LibRouter/KeeperRanking.h>
 #include <LibRouter/QuarantinePort.h>
+#include <LibRouter/VirtualMachineRanking.h>
 #include <LibWire/Kernel.h>
 #include <asio.hpp>
 #include <functional>
@@ -32,7 +32,7 @@
         Duration fetch_timeout = milliseconds(500);
     };
 
-    QuarantineKeeper(Options options, Kernel& kernel, KeeperRanking const& ranking, QuarantinePort& store, asio::io_context& loop);
+    QuarantineKeeper(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop);
 
     void start();
 
@@ -66,7 +66,7 @@
 
     Options options;
     Kernel& kernel;
-    KeeperRanking const& ranking;
+    VirtualMachineRanking const& ranking;
     QuarantinePort& store;
     asio::io_context& loop;
     Quarantine quarantine;
--- a/Libraries/LibRouter/QuotaClient.cpp
+++ b/Libraries/LibRouter/QuotaClient.cpp
@@ -16,7 +16,7 @@
 
 }
 
-QuotaClient::QuotaClient(Options options, Kernel& kernel, KeeperRanking& ranking, QuotaCounter& own_counter)
+QuotaClient::QuotaClient(Options options, Kernel& kernel, VirtualMachineRanking& ranking, QuotaCounter& own_counter)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
--- a/Libraries/LibRouter/QuotaClient.h
+++ b/Libraries/LibRouter/QuotaClient.h
@@ -34,7 +34,7 @@
         Duration return_interval = milliseconds(500);
     };
 
-    QuotaClient(Options options, Kernel& kernel, KeeperRanking& ranking, QuotaCounter& own_counter);
+    QuotaClient(Options options, Kernel& kernel, VirtualMachineRanking& ranking, QuotaCounter& own_counter);
 
     void start();
 
@@ -64,7 +64,7 @@
 
     Options options;
     Kernel& kernel;
-    KeeperRanking& ranking;
+    VirtualMachineRanking& ranking;
     QuotaCounter& own_counter;
     QuotaCredit credit;
     /// The process that last answered for an account, by account name.
--- a/Libraries/LibRouter/QuotaCounter.cpp
+++ b/Libraries/LibRouter/QuotaCounter.cpp
@@ -16,7 +16,7 @@
 
 }
 
-QuotaCounter::QuotaCounter(QuotaLedger::Options options, Kernel& kernel, KeeperRanking& ranking, Hooks hooks)
+QuotaCounter::QuotaCounter(QuotaLedger::Options options, Kernel& kernel, VirtualMachineRanking& ranking, Hooks hooks)
     : ledger(options)
     , kernel(kernel)
     , ranking(ranking)
--- a/Libraries/LibRouter/QuotaCounter.h
+++ b/Libraries/LibRouter/QuotaCounter.h
@@ -5,7 +5,7 @@
 
 #include <LibAccounts/QuotaLedger.h>
 #include <LibDecision/RouteTable.h>
-#include <LibRouter/KeeperRanking.h>
+#include <LibRouter/VirtualMachineRanking.h>
 #include <LibWire/Kernel.h>
 #include <functional>
 #include <memory>
@@ -51,7 +51,7 @@
         Alone,
     };
 
-    QuotaCounter(QuotaLedger::Options options, Kernel& kernel, KeeperRanking& ranking, Hooks hooks);
+    QuotaCounter(QuotaLedger::Options options, Kernel& kernel, VirtualMachineRanking& ranking, Hooks hooks);
 
     /// Registers the service. Call before the kernel starts.
     void host();
@@ -69,7 +69,7 @@
 
     QuotaLedger ledger;
     Kernel& kernel;
-    KeeperRanking& ranking;
+    VirtualMachineRanking& ranking;
     Hooks hooks;
 };
 
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -19,7 +19,7 @@
 
 }
 
-UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks)
+UpstreamLimitCounter::UpstreamLimitCounter(Kernel& kernel, VirtualMachineRanking& ranking, UpstreamLimitBook& book, Hooks hooks)
     : kernel(kernel)
     , ranking(ranking)
     , book(book)
--- a/Libraries/LibRouter/UpstreamLimitCounter.h
+++ b/Libraries/LibRouter/UpstreamLimitCounter.h
@@ -6,7 +6,7 @@
 #include <LibDecision/UpstreamLimitBook.h>
 #include <LibDecision/UpstreamPacer.h>
 #include <LibDecision/VirtualMachineCount.h>
-#include <LibRouter/KeeperRanking.h>
+#include <LibRouter/VirtualMachineRanking.h>
 #include <LibWire/Kernel.h>
 #include <functional>
 #include <optional>
@@ -52,7 +52,7 @@
     };
 
     /// The book is the one of this VM; limits received from other VMs are added to it.
-    UpstreamLimitCounter(Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, Hooks hooks);
+    UpstreamLimitCounter(Kernel& kernel, VirtualMachineRanking& ranking, UpstreamLimitBook& book, Hooks hooks);
 
     /// Registers the service. Call before the kernel starts.
     void host();
@@ -73,7 +73,7 @@
     double part_of_limit(std::string const& upstream, Standing standing) const;
 
     Kernel& kernel;
-    KeeperRanking& ranking;
+    VirtualMachineRanking& ranking;
     UpstreamLimitBook& book;
     Hooks hooks;
     UpstreamPacer pacer;
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -17,7 +17,7 @@
 
 }
 
-UpstreamLimiter::UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter)
+UpstreamLimiter::UpstreamLimiter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
--- a/Libraries/LibRouter/UpstreamLimiter.h
+++ b/Libraries/LibRouter/UpstreamLimiter.h
@@ -34,7 +34,7 @@
     using Turn = UpstreamPacer::Turn;
 
     /// The book is the one of this VM.
-    UpstreamLimiter(Options options, Kernel& kernel, KeeperRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter);
+    UpstreamLimiter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, UpstreamLimitBook& book, UpstreamLimitCounter& own_counter);
 
     /// Records the limit stated in an upstream's answer, and notifies the counting VM if the limit changed.
     UpstreamLimitBook::Change note(std::string_view upstream, UpstreamLimitStatement const& statement);
@@ -61,7 +61,7 @@
 
     Options options;
     Kernel& kernel;
-    KeeperRanking& ranking;
+    VirtualMachineRanking& ranking;
     UpstreamLimitBook& book;
     UpstreamLimitCounter& own_counter;
     std::map<std::string, MonotonicTime, std::less<>> paused_until;
--- a/Libraries/LibRouter/KeeperRanking.cpp
+++ b/Libraries/LibRouter/VirtualMachineRanking.cpp
@@ -3,19 +3,19 @@
 
 #include <LibCore/Clock.h>
 #include <LibDecision/CellMap.h>
-#include <LibRouter/KeeperRanking.h>
+#include <LibRouter/VirtualMachineRanking.h>
 #include <algorithm>
 
 namespace Spurtide {
 
-std::string KeeperRanking::endpoint_of(std::string const& virtual_machine) const
+std::string VirtualMachineRanking::endpoint_of(std::string const& virtual_machine) const
 {
     if (virtual_machine == this->kernel.virtual_machine())
         return this->kernel.endpoint();
     return this->kernel.directory().resolve_on(virtual_machine, PLACEMENT_SERVICE).value_or("");
 }
 
-std::vector<std::string> KeeperRanking::names(std::string_view key) const
+std::vector<std::string> VirtualMachineRanking::names(std::string_view key) const
 {
     auto const now = monotonic_now();
     auto const confined = this->hooks.confined_to();
@@ -36,15 +36,15 @@
     return found;
 }
 
-std::string KeeperRanking::present_endpoint(std::string_view key) const
+std::string VirtualMachineRanking::present_endpoint(std::string_view key) const
 {
     auto const ranked = this->names(key);
     return ranked.empty() ? this->kernel.endpoint() : this->endpoint_of(ranked.front());
 }
 
-bool KeeperRanking::is_own(std::string_view key) const { return this->present_endpoint(key) == this->kernel.endpoint(); }
+bool VirtualMachineRanking::is_own(std::string_view key) const { return this->present_endpoint(key) == this->kernel.endpoint(); }
 
-void KeeperRanking::note_silent(std::string const& virtual_machine)
+void VirtualMachineRanking::note_silent(std::string const& virtual_machine)
 {
     this->silent_until[virtual_machine] = monotonic_now() + this->suspicion;
 }
--- a/Libraries/LibRouter/KeeperRanking.h
+++ b/Libraries/LibRouter/VirtualMachineRanking.h
@@ -20,14 +20,14 @@
 
 /// Determines, without coordination, which VM is responsible for a key. Eligible VMs are ranked by rendezvous hashing; VMs that
 /// recently failed to answer are skipped.
-class KeeperRanking {
+class VirtualMachineRanking {
 public:
     struct Hooks {
         /// The VMs of this data centre while it is partitioned from all others; empty otherwise.
         std::function<std::optional<std::vector<std::string>>()> confined_to = [] { return std::optional<std::vector<std::string>> {}; };
     };
 
-    KeeperRanking(Kernel& kernel, Duration suspicion)
+    VirtualMachineRanking(Kernel& kernel, Duration suspicion)
         : kernel(kernel)
         , suspicion(suspicion)
     {
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -116,7 +116,7 @@
     this->membership->set_evacuation_hooks([this]() -> EvacuationBook const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
-    KeeperRanking::Hooks ranking_hooks;
+    VirtualMachineRanking::Hooks ranking_hooks;
     ranking_hooks.confined_to = [this]() -> std::optional<std::vector<std::string>> {
         if (!this->membership->is_cut_off())
             return {};
--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -61,7 +61,7 @@
     }
 
     std::unique_ptr<Kernel> kernel;
-    KeeperRanking ranking;
+    VirtualMachineRanking ranking;
     QuarantineKeeper quarantine;
     CrashAnalyzer analyzer;
     CrashReporter reporter;
--- a/Tests/LibRouter/TestQuotaClient.cpp
+++ b/Tests/LibRouter/TestQuotaClient.cpp
@@ -45,7 +45,7 @@
     }
 
     std::unique_ptr<Kernel> kernel;
-    KeeperRanking ranking;
+    VirtualMachineRanking ranking;
     std::unique_ptr<QuotaCounter> counter;
     std::unique_ptr<QuotaClient> client;
     bool is_settled = true;
--- a/Tests/LibRouter/TestUpstreamLimiter.cpp
+++ b/Tests/LibRouter/TestUpstreamLimiter.cpp
@@ -35,7 +35,7 @@
     void hear(std::optional<double> rate) { this->limiter->note(UPSTREAM, { rate, monotonic_now() }); }
 
     std::unique_ptr<Kernel> kernel;
-    KeeperRanking ranking;
+    VirtualMachineRanking ranking;
     UpstreamLimitBook book;
     std::unique_ptr<UpstreamLimitCounter> counter;
     std::unique_ptr<UpstreamLimiter> limiter;
