--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -96,7 +96,7 @@
 
 std::vector<std::string> CrashReporter::analyzers(std::string_view service) const
 {
-    auto names = this->ranking.names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
+    auto names = this->ranking.ranked_names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
     names.resize(std::min(names.size(), ANALYZERS));
     // A VM that knows of no others analyzes its own reports.
     if (names.empty())
@@ -131,7 +131,7 @@
         if (!reply.is_error() && reply.value().has_crash_report_answer())
             return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayGoOn);
         if (reply.is_error() && reply.error().kind != WireErrorKind::Remote)
-            this->ranking.note_silent(analyzer);
+            this->ranking.note_unresponsive(analyzer);
         LogLine("crash_analyzer_unresponsive").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
         answer(std::nullopt);
     });
--- a/Libraries/LibRouter/PlacementClient.cpp
+++ b/Libraries/LibRouter/PlacementClient.cpp
@@ -47,7 +47,7 @@
     this->kernel.every(this->options.keeper_check, [this] { this->follow_keeper(); });
 }
 
-std::string PlacementClient::present_keeper() const { return this->keepers.present_endpoint(CELL); }
+std::string PlacementClient::present_keeper() const { return this->keepers.first_endpoint(CELL); }
 
 wire::Envelope PlacementClient::ask_message(PlacementAsk const& ask, AskTimes const& times, Duration spent) const
 {
@@ -79,7 +79,7 @@
 {
     auto const begun = monotonic_now();
     this->follow_keeper();
-    auto names = this->keepers.names(CELL);
+    auto names = this->keepers.ranked_names(CELL);
     names.resize(std::min(names.size(), REMOTE_TRIES));
     std::erase(names, this->kernel.virtual_machine());
     bool const is_own_first = this->present_keeper() == this->kernel.endpoint();
@@ -104,7 +104,7 @@
         if (wait->is_given_up)
             co_return std::nullopt;
         if (wait->reply->is_error()) {
-            this->keepers.note_silent(name);
+            this->keepers.note_unresponsive(name);
             LogLine("keeper_silent").with("keeper", name).with("request", ask.request).with("error", to_string(wait->reply->error().kind));
             continue;
         }
--- a/Libraries/LibRouter/QuotaClient.cpp
+++ b/Libraries/LibRouter/QuotaClient.cpp
@@ -66,7 +66,7 @@
 
 asio::awaitable<std::optional<QuotaClient::Decision>> QuotaClient::ask_ranked(std::string account, double cost, Duration patience)
 {
-    auto names = this->ranking.names(account);
+    auto names = this->ranking.ranked_names(account);
     names.resize(std::min(names.size(), MOST_ASKED));
     for (auto const& name : names) {
         std::optional<QuotaLedger::Answer> answer;
@@ -115,7 +115,7 @@
         auto const& error = answered.error();
         // A VM that answers with an error is alive, so it stays in the ranking for other keys.
         if (error.kind != WireErrorKind::Remote)
-            this->ranking.note_silent(virtual_machine);
+            this->ranking.note_unresponsive(virtual_machine);
         LogLine("quota_counter_unresponsive").with("vm", virtual_machine).with("account", account).with("error", to_string(error.kind));
         co_return std::nullopt;
     }
@@ -150,7 +150,7 @@
 void QuotaClient::return_unused()
 {
     for (auto const& unused : this->credit.take_all_unused(monotonic_now())) {
-        auto const endpoint = this->ranking.present_endpoint(unused.account);
+        auto const endpoint = this->ranking.first_endpoint(unused.account);
         if (endpoint == this->kernel.endpoint()) {
             this->own_counter.give_back(unused.account, unused.amount);
             continue;
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -31,7 +31,7 @@
     auto const change = this->book.take(upstream, statement);
     if (change == UpstreamLimitBook::Change::None)
         return change;
-    auto const endpoint = this->ranking.present_endpoint(upstream);
+    auto const endpoint = this->ranking.first_endpoint(upstream);
     if (endpoint == this->kernel.endpoint())
         return change;
     auto envelope = message_to(UPSTREAM_LIMIT_SERVICE);
@@ -54,7 +54,7 @@
 
 asio::awaitable<UpstreamLimiter::Turn> UpstreamLimiter::ask_ranked(Ask ask)
 {
-    auto names = this->ranking.names(ask.upstream);
+    auto names = this->ranking.ranked_names(ask.upstream);
     names.resize(std::min(names.size(), MOST_ASKED));
     for (auto const& name : names) {
         std::optional<Turn> turn;
@@ -83,7 +83,7 @@
         auto const& error = answered.error();
         // A VM that answers with an error is alive, so it stays in the ranking for other keys.
         if (error.kind != WireErrorKind::Remote)
-            this->ranking.note_silent(virtual_machine);
+            this->ranking.note_unresponsive(virtual_machine);
         LogLine("upstream_limit_counter_unresponsive").with("vm", virtual_machine).with("upstream", ask.upstream).with("error", to_string(error.kind));
         co_return std::nullopt;
     }
@@ -99,7 +99,7 @@
 {
     if (!this->book.rate_of(upstream))
         return;
-    auto const endpoint = this->ranking.present_endpoint(upstream);
+    auto const endpoint = this->ranking.first_endpoint(upstream);
     if (endpoint == this->kernel.endpoint()) {
         this->own_counter.give_back(upstream);
         return;
--- a/Libraries/LibRouter/VirtualMachineRanking.cpp
+++ b/Libraries/LibRouter/VirtualMachineRanking.cpp
@@ -15,38 +15,38 @@
     return this->kernel.directory().resolve_on(virtual_machine, PLACEMENT_SERVICE).value_or("");
 }
 
-std::vector<std::string> VirtualMachineRanking::names(std::string_view key) const
+std::vector<std::string> VirtualMachineRanking::ranked_names(std::string_view key) const
 {
     auto const now = monotonic_now();
-    auto const confined = this->hooks.confined_to();
-    auto const answering = [&](std::string_view service) {
+    auto const confinement = this->hooks.partition_members();
+    auto const responsive = [&](std::string_view service) {
         auto found = this->kernel.directory().virtual_machines_with(service);
-        if (confined)
-            std::erase_if(found, [&](auto const& name) { return std::find(confined->begin(), confined->end(), name) == confined->end(); });
+        if (confinement)
+            std::erase_if(found, [&](auto const& name) { return std::find(confinement->begin(), confinement->end(), name) == confinement->end(); });
         std::erase_if(found, [&](auto const& name) {
-            auto const silent = this->silent_until.find(name);
-            return silent != this->silent_until.end() && now < silent->second;
+            auto const exclusion = this->excluded_until.find(name);
+            return exclusion != this->excluded_until.end() && now < exclusion->second;
         });
         return found;
     };
-    auto found = answering(STRONG_PLACEMENT_SERVICE);
+    auto found = responsive(STRONG_PLACEMENT_SERVICE);
     if (found.empty())
-        found = answering(PLACEMENT_SERVICE);
+        found = responsive(PLACEMENT_SERVICE);
     std::sort(found.begin(), found.end(), [&](auto const& a, auto const& b) { return rendezvous_score(key, a) > rendezvous_score(key, b); });
     return found;
 }
 
-std::string VirtualMachineRanking::present_endpoint(std::string_view key) const
+std::string VirtualMachineRanking::first_endpoint(std::string_view key) const
 {
-    auto const ranked = this->names(key);
+    auto const ranked = this->ranked_names(key);
     return ranked.empty() ? this->kernel.endpoint() : this->endpoint_of(ranked.front());
 }
 
-bool VirtualMachineRanking::is_own(std::string_view key) const { return this->present_endpoint(key) == this->kernel.endpoint(); }
+bool VirtualMachineRanking::is_own(std::string_view key) const { return this->first_endpoint(key) == this->kernel.endpoint(); }
 
-void VirtualMachineRanking::note_silent(std::string const& virtual_machine)
+void VirtualMachineRanking::note_unresponsive(std::string const& virtual_machine)
 {
-    this->silent_until[virtual_machine] = monotonic_now() + this->suspicion;
+    this->excluded_until[virtual_machine] = monotonic_now() + this->suspicion;
 }
 
 }
--- a/Libraries/LibRouter/VirtualMachineRanking.h
+++ b/Libraries/LibRouter/VirtualMachineRanking.h
@@ -24,7 +24,7 @@
 public:
     struct Hooks {
         /// The VMs of this data centre while it is partitioned from all others; empty otherwise.
-        std::function<std::optional<std::vector<std::string>>()> confined_to = [] { return std::optional<std::vector<std::string>> {}; };
+        std::function<std::optional<std::vector<std::string>>()> partition_members = [] { return std::optional<std::vector<std::string>> {}; };
     };
 
     VirtualMachineRanking(Kernel& kernel, Duration suspicion)
@@ -36,20 +36,20 @@
     void set_hooks(Hooks new_hooks) { this->hooks = std::move(new_hooks); }
 
     /// The VMs responsible for the key in order of preference, without those that recently failed to answer.
-    std::vector<std::string> names(std::string_view key) const;
+    std::vector<std::string> ranked_names(std::string_view key) const;
     /// The endpoint of a VM's process; empty if unknown.
     std::string endpoint_of(std::string const& virtual_machine) const;
     /// The endpoint of the first VM in the ranking; this VM's own if the ranking is empty.
-    std::string present_endpoint(std::string_view key) const;
+    std::string first_endpoint(std::string_view key) const;
     bool is_own(std::string_view key) const;
     /// Excludes a VM that did not answer from the ranking for the suspicion time.
-    void note_silent(std::string const& virtual_machine);
+    void note_unresponsive(std::string const& virtual_machine);
 
 private:
     Kernel& kernel;
     Duration suspicion;
     Hooks hooks;
-    std::map<std::string, MonotonicTime> silent_until;
+    std::map<std::string, MonotonicTime> excluded_until;
 };
 
 }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -117,7 +117,7 @@
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
     VirtualMachineRanking::Hooks ranking_hooks;
-    ranking_hooks.confined_to = [this]() -> std::optional<std::vector<std::string>> {
+    ranking_hooks.partition_members = [this]() -> std::optional<std::vector<std::string>> {
         if (!this->membership->is_cut_off())
             return {};
         return this->kernel->directory().virtual_machines_with(this->relay->service());
--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -158,7 +158,7 @@
 TEST_CASE("Crash reports survive the loss of the first analyzer", "[crashes][kill]")
 {
     ReporterTest test(4);
-    auto const analyzers = test.machines[0]->ranking.names(std::string(QUARANTINE_SERVICE) + "/" + SERVICE);
+    auto const analyzers = test.machines[0]->ranking.ranked_names(std::string(QUARANTINE_SERVICE) + "/" + SERVICE);
     auto const first = test.index_of(analyzers.front());
     auto const reporter = (first + 1) % 4;
     test.report(reporter, "cause", "i-1");
