--- a/Libraries/LibRouter/RoleKeeper.cpp
+++ b/Libraries/LibRouter/RoleController.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/RoleKeeper.h>
+#include <LibRouter/RoleController.h>
 #include <array>
 
 namespace Spurtide {
@@ -18,7 +18,7 @@
 
 }
 
-RoleKeeper::RoleKeeper(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks)
+RoleController::RoleController(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks)
     : options(options)
     , state(state)
     , port(port)
@@ -27,29 +27,29 @@
 {
 }
 
-void RoleKeeper::start()
+void RoleController::start()
 {
     asio::co_spawn(this->state.loop, this->run(), asio::detached);
 }
 
-RoleBalancer& RoleKeeper::balancer_of(std::string const& model)
+RoleBalancer& RoleController::balancer_of(std::string const& model)
 {
     return this->balancers.try_emplace(model, this->options.balancer).first->second;
 }
 
-void RoleKeeper::note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens)
+void RoleController::note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens)
 {
     this->balancer_of(model).note_request(prompt_tokens, output_tokens, monotonic_now());
 }
 
-asio::awaitable<void> RoleKeeper::pause(Duration duration)
+asio::awaitable<void> RoleController::pause(Duration duration)
 {
     asio::steady_timer timer(this->state.loop, duration);
     asio::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<void> RoleKeeper::run()
+asio::awaitable<void> RoleController::run()
 {
     while (true) {
         co_await this->pause(this->options.look);
@@ -72,7 +72,7 @@
     }
 }
 
-std::optional<RoleKeeper::Due> RoleKeeper::find_due(MonotonicTime now)
+std::optional<RoleController::Due> RoleController::find_due(MonotonicTime now)
 {
     for (auto const& [model, engines] : this->hooks.engine_states()) {
         std::vector<RoleCandidate> candidates;
@@ -99,7 +99,7 @@
     return {};
 }
 
-asio::awaitable<bool> RoleKeeper::hold_lease()
+asio::awaitable<bool> RoleController::hold_lease()
 {
     auto const step = this->lease.next_step(monotonic_now(), this->options.order_timeout);
     if (step == LeaseTerm::Step::Use)
@@ -134,7 +134,7 @@
     co_return this->lease.is_held(monotonic_now() + this->options.order_timeout);
 }
 
-asio::awaitable<void> RoleKeeper::order(Due due)
+asio::awaitable<void> RoleController::order(Due due)
 {
     auto& balancer = this->balancer_of(due.model);
     auto const* record = this->state.upstreams.find(due.change.engine);
@@ -172,7 +172,7 @@
     // NOTE: An order without an answer may still be executed, so the balancer keeps counting it.
 }
 
-asio::awaitable<std::optional<EngineStatus>> RoleKeeper::ask_status(Address address)
+asio::awaitable<std::optional<EngineStatus>> RoleController::ask_status(Address address)
 {
     HttpRequest request { this->state.dialect.engine_status_head(address.to_string()), {} };
     ConnectionPool::Call options;
@@ -187,7 +187,7 @@
 }
 
 // Returns the status of the answer; 0 if there was none.
-asio::awaitable<int> RoleKeeper::send_order(Address address, RoleOrder order)
+asio::awaitable<int> RoleController::send_order(Address address, RoleOrder order)
 {
     ConnectionPool::Call options;
     // On a connection that was idle for long, the order could be delayed until after the lease has expired.
@@ -199,7 +199,7 @@
     co_return answer.is_error() ? 0 : answer.value().head.status;
 }
 
-void RoleKeeper::forget_changed(MonotonicTime now)
+void RoleController::forget_changed(MonotonicTime now)
 {
     auto const forgotten = std::erase_if(this->accepted, [&](auto const& entry) {
         auto const* record = this->state.upstreams.find(entry.first);
--- a/Libraries/LibRouter/RoleKeeper.h
+++ b/Libraries/LibRouter/RoleController.h
@@ -15,7 +15,7 @@
 namespace Spurtide {
 
 /// Assigns roles to engines according to the load, while this VM manages the engines and holds the lease for role changes.
-class RoleKeeper {
+class RoleController {
 public:
     struct Options {
         RoleBalancer::Options balancer {};
@@ -40,7 +40,7 @@
     };
 
     /// The holder's name is the incarnation of this process.
-    RoleKeeper(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks);
+    RoleController(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks);
 
     void start();
     /// Records a request that asks for placement for the first time.
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -159,7 +159,7 @@
     follow.spread = spread_of(this->settings.virtual_machine);
     this->follower = std::make_unique<RegistryFollower>(follow, this->loop, this->adapters.registry, this->hooks());
     if (this->settings.role_changes == NodeSettings::RoleChanges::On)
-        this->keep_roles();
+        this->create_role_controller();
     this->kernel->start();
     this->relay->start();
     this->membership->start();
@@ -167,8 +167,8 @@
     this->quota->start();
     this->quarantine->start();
     this->keeper->start();
-    if (this->roles)
-        this->roles->start();
+    if (this->role_controller)
+        this->role_controller->start();
     this->cache_reader->start();
     this->follower->start();
     this->kernel->every(seconds(1), [this] { this->every_second(); });
@@ -176,18 +176,18 @@
     return Done {};
 }
 
-void Node::keep_roles()
+void Node::create_role_controller()
 {
-    RoleKeeper::Options options;
+    RoleController::Options options;
     options.lease.length = std::max(this->settings.lease_time, SHORTEST_LEASE);
-    RoleKeeper::Hooks hooks;
+    RoleController::Hooks hooks;
     hooks.is_keeper = [this] { return !this->is_stopping && this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
     hooks.engine_states = [this] { return this->keeper->engine_states(); };
     hooks.on_change = [this] { this->engines_changed(); };
-    this->roles = std::make_unique<RoleKeeper>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
+    this->role_controller = std::make_unique<RoleController>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
     EngineKeeper::Hooks keeper_hooks;
-    keeper_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
-    keeper_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
+    keeper_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->role_controller->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
+    keeper_hooks.is_changing_role = [this](std::string_view engine) { return this->role_controller->is_changing(engine); };
     this->keeper->set_hooks(std::move(keeper_hooks));
 }
 
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -14,7 +14,7 @@
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
 #include <LibRouter/RegistryRelay.h>
-#include <LibRouter/RoleKeeper.h>
+#include <LibRouter/RoleController.h>
 #include <LibRouter/RouterState.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <LibWire/Kernel.h>
@@ -76,7 +76,7 @@
     void create_quota();
     void create_quarantine();
     void create_limiter();
-    void keep_roles();
+    void create_role_controller();
     RegistryFollower::Hooks hooks();
     RegistryRelay::Hooks relay_hooks();
     void adopt(ConfigurationDocument const& document, std::string_view source);
@@ -112,7 +112,7 @@
     std::unique_ptr<CrashReporter> crash_reporter;
     std::unique_ptr<EngineKeeper> keeper;
     /// Empty where engines keep the roles that they have.
-    std::unique_ptr<RoleKeeper> roles;
+    std::unique_ptr<RoleController> role_controller;
     std::unique_ptr<CacheReader> cache_reader;
     std::unique_ptr<RegistryFollower> follower;
     std::unique_ptr<HttpServer> callers;
