--- a/Libraries/LibRouter/RoleController.cpp
+++ b/Libraries/LibRouter/RoleController.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::string_view LEASE = "roles";
+constexpr std::string_view LEASE_NAME = "roles";
 /// An engine that accepted an order but does not report its new role within this time is used in the role that it reports.
-constexpr Duration LONGEST_CHANGE = seconds(20);
+constexpr Duration ROLE_CHANGE_TIMEOUT = seconds(20);
 
 std::string_view role_name(EngineRole role) { return role == EngineRole::Prefill ? "prefill" : "decode"; }
 
@@ -52,27 +52,27 @@
 asio::awaitable<void> RoleController::run()
 {
     while (true) {
-        co_await this->pause(this->options.look);
+        co_await this->pause(this->options.evaluation_interval);
         auto const now = monotonic_now();
-        this->forget_changed(now);
+        this->remove_finished_changes(now);
         if (!this->hooks.is_keeper()) {
             this->keeper_since.reset();
             continue;
         }
         if (!this->keeper_since)
             this->keeper_since = now;
-        if (now - *this->keeper_since < this->options.keeper_for)
+        if (now - *this->keeper_since < this->options.minimum_keeper_time)
             continue;
         auto due = this->find_due(now);
         if (!due)
             continue;
-        bool const is_held = co_await this->hold_lease();
+        bool const is_held = co_await this->acquire_lease();
         if (is_held)
             co_await this->order(std::move(*due));
     }
 }
 
-std::optional<RoleController::Due> RoleController::find_due(MonotonicTime now)
+std::optional<RoleController::DueChange> RoleController::find_due(MonotonicTime now)
 {
     for (auto const& [model, engines] : this->hooks.engine_states()) {
         std::vector<RoleCandidate> candidates;
@@ -93,29 +93,29 @@
         if (change) {
             std::array<char, 96> text {};
             std::snprintf(text.data(), text.size(), "engines:%zu,pace:%s,prefill_rate:%.0f,step_us:%lld", candidates.size(), capacity.source == EngineCapacity::Source::Measured ? "measured" : "assumed", capacity.prefill_rate, static_cast<long long>(capacity.step_time.count()));
-            return Due { model, *change, text.data() };
+            return DueChange { model, *change, text.data() };
         }
     }
     return {};
 }
 
-asio::awaitable<bool> RoleController::hold_lease()
+asio::awaitable<bool> RoleController::acquire_lease()
 {
     auto const step = this->lease.next_step(monotonic_now(), this->options.order_timeout);
     if (step == LeaseTerm::Step::Use)
         co_return true;
     if (step == LeaseTerm::Step::Wait) {
         // The row may be released or renewed during the pause.
-        co_await this->pause(this->options.pause_after_failure);
+        co_await this->pause(this->options.failure_delay);
         this->lease.note_write_failed();
         co_return false;
     }
-    std::string const name(LEASE);
+    std::string const name(LEASE_NAME);
     if (step == LeaseTerm::Step::Read) {
         auto const row = co_await this->port.read_lease(name);
         if (row.is_error()) {
             LogLine("lease_read_failed").with("error", to_string(row.error()));
-            co_await this->pause(this->options.pause_after_failure);
+            co_await this->pause(this->options.failure_delay);
             co_return false;
         }
         this->lease.note_read(row.value(), monotonic_now());
@@ -126,7 +126,7 @@
     if (written.is_error()) {
         LogLine("lease_write_failed").with("error", to_string(written.error())).with("expected_version", this->lease.expected_version());
         this->lease.note_write_failed();
-        co_await this->pause(this->options.pause_after_failure);
+        co_await this->pause(this->options.failure_delay);
         co_return false;
     }
     this->lease.note_written(written.value(), monotonic_now());
@@ -134,7 +134,7 @@
     co_return this->lease.is_held(monotonic_now() + this->options.order_timeout);
 }
 
-asio::awaitable<void> RoleController::order(Due due)
+asio::awaitable<void> RoleController::order(DueChange due)
 {
     auto& balancer = this->balancer_of(due.model);
     auto const* record = this->state.upstreams.find(due.change.engine);
@@ -143,7 +143,7 @@
         balancer.note_refused(due.change.engine, monotonic_now());
         co_return;
     }
-    auto const status = co_await this->ask_status(*address);
+    auto const status = co_await this->fetch_status(*address);
     bool const may_order = status && !status->is_under_order && status->role != due.change.role;
     if (!may_order) {
         LogLine("role_order_skipped").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("reason", !status ? "no_status" : status->is_under_order ? "under_order"
@@ -162,17 +162,17 @@
     order.expected_identity = due.change.engine;
     balancer.note_ordered(due.change, monotonic_now());
     auto const answer = co_await this->send_order(*address, order);
-    LogLine("role_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("fence", order.fence).with("orders_taken", status->orders_taken).with("status", answer).with("because", due.because);
+    LogLine("role_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("fence", order.fence).with("orders_taken", status->orders_taken).with("status", answer).with("because", due.inputs);
     auto const now = monotonic_now();
-    constexpr int TAKEN = 202;
-    if (answer == TAKEN) {
-        this->accepted.insert_or_assign(due.change.engine, Accepted { due.change.role, now });
+    constexpr int HTTP_ACCEPTED = 202;
+    if (answer == HTTP_ACCEPTED) {
+        this->accepted_orders.insert_or_assign(due.change.engine, AcceptedOrder { due.change.role, now });
         this->hooks.on_change();
     }
     // NOTE: An order without an answer may still be executed, so the balancer keeps counting it.
 }
 
-asio::awaitable<std::optional<EngineStatus>> RoleController::ask_status(Address address)
+asio::awaitable<std::optional<EngineStatus>> RoleController::fetch_status(Address address)
 {
     HttpRequest request { this->state.dialect.engine_status_head(address.to_string()), {} };
     ConnectionPool::Call options;
@@ -199,17 +199,17 @@
     co_return answer.is_error() ? 0 : answer.value().head.status;
 }
 
-void RoleController::forget_changed(MonotonicTime now)
+void RoleController::remove_finished_changes(MonotonicTime now)
 {
-    auto const forgotten = std::erase_if(this->accepted, [&](auto const& entry) {
+    auto const removed = std::erase_if(this->accepted_orders, [&](auto const& entry) {
         auto const* record = this->state.upstreams.find(entry.first);
-        bool const is_over = !record || record->role == entry.second.role || now - entry.second.since >= LONGEST_CHANGE;
+        bool const is_over = !record || record->role == entry.second.role || now - entry.second.since >= ROLE_CHANGE_TIMEOUT;
         if (is_over)
             LogLine("role_changed").with("engine", entry.first).with("role", role_name(entry.second.role)).with("outcome", !record ? "gone" : record->role == entry.second.role ? "done"
                                                                                                                                                                                 : "not_seen");
         return is_over;
     });
-    if (forgotten > 0)
+    if (removed > 0)
         this->hooks.on_change();
 }
 
--- a/Libraries/LibRouter/RoleController.h
+++ b/Libraries/LibRouter/RoleController.h
@@ -21,14 +21,14 @@
         RoleBalancer::Options balancer {};
         LeaseTerm::Options lease {};
         /// How often to check whether a role change is due.
-        Duration look = milliseconds(250);
+        Duration evaluation_interval = milliseconds(250);
         /// How long this VM has to be the keeper before it orders changes: a VM that has just started may take itself for the
         /// keeper only because it has not discovered the others yet.
-        Duration keeper_for = milliseconds(1200);
+        Duration minimum_keeper_time = milliseconds(1200);
         /// Timeout of an order; the lease has to last at least this long.
         Duration order_timeout = milliseconds(700);
         /// Delay after the store or an engine failed to answer.
-        Duration pause_after_failure = milliseconds(800);
+        Duration failure_delay = milliseconds(800);
     };
 
     struct Hooks {
@@ -46,25 +46,25 @@
     /// Records a request that asks for placement for the first time.
     void note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens);
     /// Whether the engine accepted an order from this VM and does not yet serve in its new role.
-    bool is_changing(std::string_view engine) const { return this->accepted.contains(engine); }
+    bool is_changing(std::string_view engine) const { return this->accepted_orders.contains(engine); }
 
 private:
     /// A role change that is due.
-    struct Due {
+    struct DueChange {
         std::string model;
         RoleChange change;
         /// The inputs of the decision, for the log.
-        std::string because;
+        std::string inputs;
     };
 
     asio::awaitable<void> run();
-    std::optional<Due> find_due(MonotonicTime now);
-    asio::awaitable<bool> hold_lease();
-    asio::awaitable<void> order(Due due);
-    asio::awaitable<std::optional<EngineStatus>> ask_status(Address address);
+    std::optional<DueChange> find_due(MonotonicTime now);
+    asio::awaitable<bool> acquire_lease();
+    asio::awaitable<void> order(DueChange due);
+    asio::awaitable<std::optional<EngineStatus>> fetch_status(Address address);
     asio::awaitable<int> send_order(Address address, RoleOrder order);
     asio::awaitable<void> pause(Duration duration);
-    void forget_changed(MonotonicTime now);
+    void remove_finished_changes(MonotonicTime now);
     RoleBalancer& balancer_of(std::string const& model);
 
     Options options;
@@ -73,11 +73,11 @@
     Hooks hooks;
     LeaseTerm lease;
     std::map<std::string, RoleBalancer> balancers;
-    struct Accepted {
+    struct AcceptedOrder {
         EngineRole role;
         MonotonicTime since;
     };
-    std::map<std::string, Accepted, std::less<>> accepted;
+    std::map<std::string, AcceptedOrder, std::less<>> accepted_orders;
     std::optional<MonotonicTime> keeper_since;
 };
 
