--- a/Libraries/LibRouter/CrashAnalyzer.cpp
+++ b/Libraries/LibRouter/CrashAnalyzer.cpp
@@ -8,7 +8,7 @@
 
 namespace Spurtide {
 
-CrashAnalyzer::CrashAnalyzer(Options options, QuarantineKeeper& quarantine, asio::io_context& loop)
+CrashAnalyzer::CrashAnalyzer(Options options, ReplicatedQuarantine& quarantine, asio::io_context& loop)
     : options(options)
     , quarantine(quarantine)
     , timer(loop)
--- a/Libraries/LibRouter/CrashAnalyzer.h
+++ b/Libraries/LibRouter/CrashAnalyzer.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <LibDecision/CrashLedger.h>
-#include <LibRouter/QuarantineKeeper.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <asio.hpp>
 #include <functional>
 #include <vector>
@@ -43,7 +43,7 @@
     };
     using Answer = std::function<void(CrashVerdict)>;
 
-    CrashAnalyzer(Options options, QuarantineKeeper& quarantine, asio::io_context& loop);
+    CrashAnalyzer(Options options, ReplicatedQuarantine& quarantine, asio::io_context& loop);
 
     /// Answers at once if the request cannot be the cause, otherwise when all VMs have reported their requests at the upstream.
     void take(CrashReport const& report, Answer answer);
@@ -63,7 +63,7 @@
     void decide_later();
 
     Options options;
-    QuarantineKeeper& quarantine;
+    ReplicatedQuarantine& quarantine;
     asio::steady_timer timer;
     bool is_timer_set = false;
     CrashLedger ledger;
--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -78,7 +78,7 @@
     std::vector<AnalyzerAnswer> answers;
 };
 
-CrashReporter::CrashReporter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, QuarantineKeeper& quarantine, CrashAnalyzer& own_analyzer)
+CrashReporter::CrashReporter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, ReplicatedQuarantine& quarantine, CrashAnalyzer& own_analyzer)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
--- a/Libraries/LibRouter/CrashReporter.h
+++ b/Libraries/LibRouter/CrashReporter.h
@@ -25,7 +25,7 @@
         RecentRequests::Options reported { seconds(3600), 1024 };
     };
 
-    CrashReporter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, QuarantineKeeper& quarantine, CrashAnalyzer& own_analyzer);
+    CrashReporter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, ReplicatedQuarantine& quarantine, CrashAnalyzer& own_analyzer);
 
     /// Registers the service. Call before the kernel starts.
     void host();
@@ -44,7 +44,7 @@
     Options options;
     Kernel& kernel;
     VirtualMachineRanking& ranking;
-    QuarantineKeeper& quarantine;
+    ReplicatedQuarantine& quarantine;
     CrashAnalyzer& own_analyzer;
     RecentRequests completed;
     RecentRequests reported;
--- a/Libraries/LibRouter/QuarantineKeeper.cpp
+++ b/Libraries/LibRouter/ReplicatedQuarantine.cpp
@@ -3,7 +3,7 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/QuarantineKeeper.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <algorithm>
 
 namespace Spurtide {
@@ -21,7 +21,7 @@
 
 }
 
-QuarantineKeeper::QuarantineKeeper(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop)
+ReplicatedQuarantine::ReplicatedQuarantine(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
@@ -31,16 +31,16 @@
 {
 }
 
-void QuarantineKeeper::start()
+void ReplicatedQuarantine::start()
 {
     this->kernel.every(HOUSEKEEPING, [this] { this->quarantine.forget_old(unix_milliseconds()); });
 }
 
-std::optional<Duration> QuarantineKeeper::held_for(RequestFingerprint const& request) const { return this->quarantine.held_for(request, unix_milliseconds()); }
+std::optional<Duration> ReplicatedQuarantine::held_for(RequestFingerprint const& request) const { return this->quarantine.held_for(request, unix_milliseconds()); }
 
-bool QuarantineKeeper::is_on_probation(RequestFingerprint const& request) const { return this->quarantine.is_on_probation(request, unix_milliseconds()); }
+bool ReplicatedQuarantine::is_on_probation(RequestFingerprint const& request) const { return this->quarantine.is_on_probation(request, unix_milliseconds()); }
 
-void QuarantineKeeper::add(RequestFingerprint const& request)
+void ReplicatedQuarantine::add(RequestFingerprint const& request)
 {
     auto const entry = this->quarantine.add(request, unix_milliseconds());
     this->tell_all(entry);
@@ -49,7 +49,7 @@
         asio::co_spawn(this->loop, this->write_store(), asio::detached);
 }
 
-void QuarantineKeeper::tell_all(QuarantineEntry const& entry)
+void ReplicatedQuarantine::tell_all(QuarantineEntry const& entry)
 {
     auto envelope = message_to(QUARANTINE_SERVICE);
     write_entry(entry, *envelope.mutable_quarantine_records()->add_records());
@@ -59,15 +59,15 @@
     }
 }
 
-bool QuarantineKeeper::has_asked_store() const { return this->store_asked_at && monotonic_now() - *this->store_asked_at < this->options.store_memory; }
+bool ReplicatedQuarantine::has_asked_store() const { return this->store_asked_at && monotonic_now() - *this->store_asked_at < this->options.store_memory; }
 
-void QuarantineKeeper::ask_store()
+void ReplicatedQuarantine::ask_store()
 {
     if (!this->has_asked_store() && !std::exchange(this->is_reading, true))
         asio::co_spawn(this->loop, this->read_store(), asio::detached);
 }
 
-asio::awaitable<void> QuarantineKeeper::read_store()
+asio::awaitable<void> ReplicatedQuarantine::read_store()
 {
     auto const entries = co_await this->store.read_quarantine();
     this->is_reading = false;
@@ -85,7 +85,7 @@
     }
 }
 
-asio::awaitable<void> QuarantineKeeper::write_store()
+asio::awaitable<void> ReplicatedQuarantine::write_store()
 {
     auto pause = this->options.first_write_pause;
     asio::steady_timer timer(this->loop);
@@ -113,13 +113,13 @@
     this->is_writing = false;
 }
 
-void QuarantineKeeper::merge(QuarantineEntry const& entry, std::string_view source)
+void ReplicatedQuarantine::merge(QuarantineEntry const& entry, std::string_view source)
 {
     if (this->quarantine.merge(entry, unix_milliseconds()) == Quarantine::Merge::News)
         LogLine("quarantine_received").with("fingerprint", entry.request.to_hex()).with("times", entry.times).with("until", entry.until).with("source", source);
 }
 
-void QuarantineKeeper::merge(wire::QuarantineRecords const& records)
+void ReplicatedQuarantine::merge(wire::QuarantineRecords const& records)
 {
     for (auto const& record : records.records()) {
         auto const request = RequestFingerprint::from_bytes(record.fingerprint());
@@ -128,7 +128,7 @@
     }
 }
 
-void QuarantineKeeper::hear_of(std::string const& endpoint, std::uint64_t other)
+void ReplicatedQuarantine::hear_of(std::string const& endpoint, std::uint64_t other)
 {
     // A digest of 0 stands for an empty list.
     if (other == 0 || other == this->digest() || endpoint.empty() || std::exchange(this->is_fetching, true))
@@ -142,7 +142,7 @@
     });
 }
 
-bool QuarantineKeeper::handle(wire::Envelope const& request, Kernel::Responder const& respond)
+bool ReplicatedQuarantine::handle(wire::Envelope const& request, Kernel::Responder const& respond)
 {
     if (request.has_quarantine_records()) {
         this->merge(request.quarantine_records());
--- a/Libraries/LibRouter/QuarantineKeeper.h
+++ b/Libraries/LibRouter/ReplicatedQuarantine.h
@@ -20,7 +20,7 @@
 /// Replicates the list of quarantined requests to all VMs. The VM that adds an entry broadcasts it; a VM that misses the
 /// broadcast detects the difference by the digest in the next heartbeat and fetches the whole list. Entries are also written
 /// to the platform's store, for restarts of all processes and for data centres that are partitioned from each other.
-class QuarantineKeeper {
+class ReplicatedQuarantine {
 public:
     struct Options {
         Quarantine::Options quarantine {};
@@ -32,7 +32,7 @@
         Duration fetch_timeout = milliseconds(500);
     };
 
-    QuarantineKeeper(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop);
+    ReplicatedQuarantine(Options options, Kernel& kernel, VirtualMachineRanking const& ranking, QuarantinePort& store, asio::io_context& loop);
 
     void start();
 
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -4,8 +4,8 @@
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
 #include <LibRouter/CrashReporter.h>
-#include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <LibRouter/RequestFlow.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <algorithm>
--- a/Libraries/LibRouter/RouterState.h
+++ b/Libraries/LibRouter/RouterState.h
@@ -25,7 +25,7 @@
 
 class CrashReporter;
 class PlacementClient;
-class QuarantineKeeper;
+class ReplicatedQuarantine;
 class QuotaClient;
 class UpstreamLimiter;
 
@@ -55,7 +55,7 @@
     double length_spread = 0.6;
     PlacementClient* placement = nullptr;
     QuotaClient* quota = nullptr;
-    QuarantineKeeper* quarantine = nullptr;
+    ReplicatedQuarantine* quarantine = nullptr;
     CrashReporter* crashes = nullptr;
     UpstreamLimiter* limiter = nullptr;
     /// This VM's part of the retry budgets' allowance, which all VMs share.
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -10,10 +10,10 @@
 #include <LibRouter/EngineKeeper.h>
 #include <LibRouter/Entry.h>
 #include <LibRouter/PlacementClient.h>
-#include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
 #include <LibRouter/RegistryRelay.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <LibRouter/RoleController.h>
 #include <LibRouter/RouterState.h>
 #include <LibRouter/UpstreamLimiter.h>
@@ -107,7 +107,7 @@
     UpstreamLimitBook upstream_limits;
     std::unique_ptr<UpstreamLimitCounter> limit_counter;
     std::unique_ptr<UpstreamLimiter> limiter;
-    std::unique_ptr<QuarantineKeeper> quarantine;
+    std::unique_ptr<ReplicatedQuarantine> quarantine;
     std::unique_ptr<CrashAnalyzer> crash_analyzer;
     std::unique_ptr<CrashReporter> crash_reporter;
     std::unique_ptr<EngineKeeper> keeper;
--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -53,16 +53,16 @@
         this->kernel->start();
     }
 
-    static QuarantineKeeper::Options quarantine_options()
+    static ReplicatedQuarantine::Options quarantine_options()
     {
-        QuarantineKeeper::Options options;
+        ReplicatedQuarantine::Options options;
         options.first_write_pause = milliseconds(20);
         return options;
     }
 
     std::unique_ptr<Kernel> kernel;
     VirtualMachineRanking ranking;
-    QuarantineKeeper quarantine;
+    ReplicatedQuarantine quarantine;
     CrashAnalyzer analyzer;
     CrashReporter reporter;
 };
