--- a/Libraries/LibRouter/CrashAnalyzer.cpp
+++ b/Libraries/LibRouter/CrashAnalyzer.cpp
@@ -24,7 +24,7 @@
     else
         this->ledger.note_crash(report.request, report.upstream, report.ran_for, now);
     // Entries from before a restart of all processes, or from beyond a network partition, are in the store only.
-    this->quarantine.ask_store();
+    this->quarantine.refresh_from_store();
     this->waiting.push_back({ report.request, std::move(answer), now + this->options.longest_verdict });
     this->decide();
 }
@@ -36,7 +36,7 @@
     if (now >= who.until || this->is_quarantined(who.request))
         return false;
     bool const may_be_cause = this->ledger.is_suspect(who.request) && !this->ledger.is_settled(who.request, now);
-    return may_be_cause || !this->quarantine.has_asked_store();
+    return may_be_cause || !this->quarantine.has_recent_store_read();
 }
 
 void CrashAnalyzer::quarantine_causes(MonotonicTime now)
--- a/Libraries/LibRouter/ReplicatedQuarantine.cpp
+++ b/Libraries/LibRouter/ReplicatedQuarantine.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration HOUSEKEEPING = seconds(10);
+constexpr Duration CLEANUP_INTERVAL = seconds(10);
 
 void write_entry(QuarantineEntry const& entry, wire::QuarantineRecord& message)
 {
@@ -33,7 +33,7 @@
 
 void ReplicatedQuarantine::start()
 {
-    this->kernel.every(HOUSEKEEPING, [this] { this->quarantine.forget_old(unix_milliseconds()); });
+    this->kernel.every(CLEANUP_INTERVAL, [this] { this->quarantine.forget_old(unix_milliseconds()); });
 }
 
 std::optional<Duration> ReplicatedQuarantine::held_for(RequestFingerprint const& request) const { return this->quarantine.held_for(request, unix_milliseconds()); }
@@ -43,13 +43,13 @@
 void ReplicatedQuarantine::add(RequestFingerprint const& request)
 {
     auto const entry = this->quarantine.add(request, unix_milliseconds());
-    this->tell_all(entry);
-    this->unwritten.insert_or_assign(request, entry);
+    this->broadcast(entry);
+    this->pending_writes.insert_or_assign(request, entry);
     if (!std::exchange(this->is_writing, true))
         asio::co_spawn(this->loop, this->write_store(), asio::detached);
 }
 
-void ReplicatedQuarantine::tell_all(QuarantineEntry const& entry)
+void ReplicatedQuarantine::broadcast(QuarantineEntry const& entry)
 {
     auto envelope = message_to(QUARANTINE_SERVICE);
     write_entry(entry, *envelope.mutable_quarantine_records()->add_records());
@@ -59,11 +59,11 @@
     }
 }
 
-bool ReplicatedQuarantine::has_asked_store() const { return this->store_asked_at && monotonic_now() - *this->store_asked_at < this->options.store_memory; }
+bool ReplicatedQuarantine::has_recent_store_read() const { return this->store_read_at && monotonic_now() - *this->store_read_at < this->options.store_read_validity; }
 
-void ReplicatedQuarantine::ask_store()
+void ReplicatedQuarantine::refresh_from_store()
 {
-    if (!this->has_asked_store() && !std::exchange(this->is_reading, true))
+    if (!this->has_recent_store_read() && !std::exchange(this->is_reading, true))
         asio::co_spawn(this->loop, this->read_store(), asio::detached);
 }
 
@@ -71,7 +71,7 @@
 {
     auto const entries = co_await this->store.read_quarantine();
     this->is_reading = false;
-    this->store_asked_at = monotonic_now();
+    this->store_read_at = monotonic_now();
     if (entries.is_error()) {
         LogLine("quarantine_read_failed").with("error", to_string(entries.error()));
         co_return;
@@ -87,28 +87,28 @@
 
 asio::awaitable<void> ReplicatedQuarantine::write_store()
 {
-    auto pause = this->options.first_write_pause;
+    auto retry_delay = this->options.initial_write_retry_delay;
     asio::steady_timer timer(this->loop);
-    while (!this->unwritten.empty()) {
-        auto const entry = this->unwritten.begin()->second;
+    while (!this->pending_writes.empty()) {
+        auto const entry = this->pending_writes.begin()->second;
         auto const written = co_await this->store.write_quarantine(entry, this->outdated);
         if (!written.is_error()) {
             LogLine("quarantine_written").with("fingerprint", entry.request.to_hex()).with("times", entry.times);
             this->outdated.clear();
             // The entry may have been replaced during the write.
-            auto const found = this->unwritten.find(entry.request);
-            if (found != this->unwritten.end() && found->second == entry)
-                this->unwritten.erase(found);
-            pause = this->options.first_write_pause;
+            auto const found = this->pending_writes.find(entry.request);
+            if (found != this->pending_writes.end() && found->second == entry)
+                this->pending_writes.erase(found);
+            retry_delay = this->options.initial_write_retry_delay;
             continue;
         }
         LogLine("quarantine_write_failed").with("fingerprint", entry.request.to_hex()).with("error", to_string(written.error()));
-        timer.expires_after(pause);
-        pause = std::min(pause * 2, this->options.longest_write_pause);
+        timer.expires_after(retry_delay);
+        retry_delay = std::min(retry_delay * 2, this->options.maximum_write_retry_delay);
         asio::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         auto const now = unix_milliseconds();
-        std::erase_if(this->unwritten, [&](auto const& waiting) { return this->quarantine.is_outdated(waiting.second, now); });
+        std::erase_if(this->pending_writes, [&](auto const& waiting) { return this->quarantine.is_outdated(waiting.second, now); });
     }
     this->is_writing = false;
 }
@@ -128,7 +128,7 @@
     }
 }
 
-void ReplicatedQuarantine::hear_of(std::string const& endpoint, std::uint64_t other)
+void ReplicatedQuarantine::handle_digest(std::string const& endpoint, std::uint64_t other)
 {
     // A digest of 0 stands for an empty list.
     if (other == 0 || other == this->digest() || endpoint.empty() || std::exchange(this->is_fetching, true))
--- a/Libraries/LibRouter/ReplicatedQuarantine.h
+++ b/Libraries/LibRouter/ReplicatedQuarantine.h
@@ -25,10 +25,10 @@
     struct Options {
         Quarantine::Options quarantine {};
         /// How long a read of the store stays valid. Crashes come in series, and one read serves the series.
-        Duration store_memory = seconds(2);
+        Duration store_read_validity = seconds(2);
         /// Delay before a failed write is retried; doubles up to the longest.
-        Duration first_write_pause = milliseconds(500);
-        Duration longest_write_pause = seconds(8);
+        Duration initial_write_retry_delay = milliseconds(500);
+        Duration maximum_write_retry_delay = seconds(8);
         Duration fetch_timeout = milliseconds(500);
     };
 
@@ -47,20 +47,20 @@
     void add(RequestFingerprint const& request);
 
     /// Whether a recent read of the store has finished, successfully or not.
-    bool has_asked_store() const;
+    bool has_recent_store_read() const;
     /// Starts a read of the store unless there was a recent one.
-    void ask_store();
+    void refresh_from_store();
 
     std::uint64_t digest() const { return this->quarantine.digest(); }
     /// Handles the digest of another VM; fetches that VM's entries if it differs from this one's.
-    void hear_of(std::string const& endpoint, std::uint64_t digest);
+    void handle_digest(std::string const& endpoint, std::uint64_t digest);
     /// Answers fetches and merges broadcast entries; returns false for other messages.
     bool handle(wire::Envelope const& request, Kernel::Responder const& respond);
 
 private:
     void merge(QuarantineEntry const& entry, std::string_view source);
     void merge(wire::QuarantineRecords const& records);
-    void tell_all(QuarantineEntry const& entry);
+    void broadcast(QuarantineEntry const& entry);
     asio::awaitable<void> read_store();
     asio::awaitable<void> write_store();
 
@@ -70,11 +70,11 @@
     QuarantinePort& store;
     asio::io_context& loop;
     Quarantine quarantine;
-    std::optional<MonotonicTime> store_asked_at;
+    std::optional<MonotonicTime> store_read_at;
     bool is_reading = false;
     bool is_writing = false;
     bool is_fetching = false;
-    std::map<RequestFingerprint, QuarantineEntry> unwritten;
+    std::map<RequestFingerprint, QuarantineEntry> pending_writes;
     std::vector<RequestFingerprint> outdated;
 };
 
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -239,7 +239,7 @@
     this->quarantine = std::make_unique<ReplicatedQuarantine>(ReplicatedQuarantine::Options {}, *this->kernel, this->placement->ranking(), this->adapters.quarantine, this->loop);
     this->crash_analyzer = std::make_unique<CrashAnalyzer>(CrashAnalyzer::Options {}, *this->quarantine, this->loop);
     this->crash_reporter = std::make_unique<CrashReporter>(CrashReporter::Options {}, *this->kernel, this->placement->ranking(), *this->quarantine, *this->crash_analyzer);
-    this->membership->set_quarantine_hooks([this] { return this->quarantine->digest(); }, [this](auto const& endpoint, auto digest) { this->quarantine->hear_of(endpoint, digest); });
+    this->membership->set_quarantine_hooks([this] { return this->quarantine->digest(); }, [this](auto const& endpoint, auto digest) { this->quarantine->handle_digest(endpoint, digest); });
     this->state.quarantine = this->quarantine.get();
     this->state.crashes = this->crash_reporter.get();
 }
--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -56,7 +56,7 @@
     static ReplicatedQuarantine::Options quarantine_options()
     {
         ReplicatedQuarantine::Options options;
-        options.first_write_pause = milliseconds(20);
+        options.initial_write_retry_delay = milliseconds(20);
         return options;
     }
 
@@ -177,7 +177,7 @@
     test.machines.push_back(std::make_unique<AnalyzingVirtualMachine>(test.loop, "vm-new", test.store));
     test.meet();
     auto& fresh = *test.machines.back();
-    fresh.quarantine.hear_of(test.machines[0]->kernel->endpoint(), test.machines[0]->quarantine.digest());
+    fresh.quarantine.handle_digest(test.machines[0]->kernel->endpoint(), test.machines[0]->quarantine.digest());
     CHECK(test.all_hold("cause"));
     CHECK(fresh.quarantine.digest() == test.machines[0]->quarantine.digest());
 }
