--- a/Libraries/LibRouter/CrashAnalyzer.h
+++ b/Libraries/LibRouter/CrashAnalyzer.h
@@ -17,16 +17,16 @@
     UpstreamIncarnation upstream;
     /// Time from sending the request to the crash.
     Duration ran_for {};
-    enum class Before {
-        NotKnown,
+    enum class PriorResult {
+        Unknown,
         /// The reporting VM recently saw an identical request complete.
         Completed,
-    } before
-        = Before::NotKnown;
+    } prior_result
+        = PriorResult::Unknown;
 };
 
 enum class CrashVerdict {
-    MayGoOn,
+    MayRetry,
     Quarantined,
 };
 
@@ -38,36 +38,36 @@
         CrashLedger::Options ledger {};
         /// The reporter holds its request back until it has the verdict, and the caller notices the delay. After this time the
         /// request may be retried elsewhere.
-        Duration longest_verdict = milliseconds(80);
-        Duration tick = milliseconds(10);
+        Duration verdict_timeout = milliseconds(80);
+        Duration check_interval = milliseconds(10);
     };
-    using Answer = std::function<void(CrashVerdict)>;
+    using VerdictCallback = std::function<void(CrashVerdict)>;
 
     CrashAnalyzer(Options options, ReplicatedQuarantine& quarantine, asio::io_context& loop);
 
     /// Answers at once if the request cannot be the cause, otherwise when all VMs have reported their requests at the upstream.
-    void take(CrashReport const& report, Answer answer);
+    void handle_report(CrashReport const& report, VerdictCallback callback);
     void note_completed(RequestFingerprint const& request);
 
 private:
-    struct Waiting {
+    struct PendingReport {
         RequestFingerprint request;
-        Answer answer;
-        MonotonicTime until;
+        VerdictCallback callback;
+        MonotonicTime deadline;
     };
 
-    void decide();
+    void decide_pending();
     void quarantine_causes(MonotonicTime now);
     bool is_quarantined(RequestFingerprint const& request) const { return this->quarantine.held_for(request).has_value(); }
-    bool is_open(Waiting const& waiting, MonotonicTime now) const;
-    void decide_later();
+    bool is_undecided(PendingReport const& pending, MonotonicTime now) const;
+    void schedule_decision();
 
     Options options;
     ReplicatedQuarantine& quarantine;
     asio::steady_timer timer;
     bool is_timer_set = false;
     CrashLedger ledger;
-    std::vector<Waiting> waiting;
+    std::vector<PendingReport> pending_reports;
 };
 
 }
--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -22,7 +22,7 @@
     message->set_upstream(report.upstream.identity);
     message->set_started(report.upstream.started);
     message->set_ran_microseconds(report.ran_for.count());
-    message->set_was_completed_before(report.before == CrashReport::Before::Completed);
+    message->set_was_completed_before(report.prior_result == CrashReport::PriorResult::Completed);
     return envelope;
 }
 
@@ -32,7 +32,7 @@
     report.request = request;
     report.upstream = { message.upstream(), message.started() };
     report.ran_for = Duration(message.ran_microseconds());
-    report.before = message.was_completed_before() ? CrashReport::Before::Completed : CrashReport::Before::NotKnown;
+    report.prior_result = message.was_completed_before() ? CrashReport::PriorResult::Completed : CrashReport::PriorResult::Unknown;
     return report;
 }
 
@@ -71,7 +71,7 @@
                 return answer.verdict;
         }
         // No analyzer answered. A retry crashes at most one more upstream.
-        return CrashVerdict::MayGoOn;
+        return CrashVerdict::MayRetry;
     }
 
     Signal signal;
@@ -111,7 +111,7 @@
     report.upstream = upstream;
     report.ran_for = ran_for;
     auto const now = monotonic_now();
-    report.before = this->completed.contains(request, now) ? CrashReport::Before::Completed : CrashReport::Before::NotKnown;
+    report.prior_result = this->completed.contains(request, now) ? CrashReport::PriorResult::Completed : CrashReport::PriorResult::Unknown;
     this->reported.note(request, now);
     auto const executor = co_await asio::this_coro::executor;
     auto const names = this->analyzers(service);
@@ -126,10 +126,10 @@
 void CrashReporter::ask(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer)
 {
     if (analyzer == this->kernel.virtual_machine())
-        return this->own_analyzer.take(report, std::move(answer));
+        return this->own_analyzer.handle_report(report, std::move(answer));
     this->kernel.request(this->ranking.endpoint_of(analyzer), report_message(report), this->options.answer_time, [this, analyzer, answer](WireReply const& reply) {
         if (!reply.is_error() && reply.value().has_crash_report_answer())
-            return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayGoOn);
+            return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayRetry);
         if (reply.is_error() && reply.error().kind != WireErrorKind::Remote)
             this->ranking.note_unresponsive(analyzer);
         LogLine("crash_analyzer_unresponsive").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
@@ -167,7 +167,7 @@
         respond(error_reply(wire::ERROR_CODE_UNKNOWN_MESSAGE));
         return;
     }
-    this->own_analyzer.take(read_report(request.crash_report(), *fingerprint), [respond](CrashVerdict verdict) {
+    this->own_analyzer.handle_report(read_report(request.crash_report(), *fingerprint), [respond](CrashVerdict verdict) {
         wire::Envelope reply;
         reply.mutable_crash_report_answer()->set_is_quarantined(verdict == CrashVerdict::Quarantined);
         respond(std::move(reply));
--- a/Libraries/LibRouter/CrashReporter.h
+++ b/Libraries/LibRouter/CrashReporter.h
@@ -17,7 +17,7 @@
     struct Options {
         /// Timeout for an analyzer's answer: its own time limit plus a round trip between data centres. Most requests that wait
         /// for it did not cause the crash, and their callers notice the delay.
-        Duration answer_time = CrashAnalyzer::Options {}.longest_verdict + milliseconds(20);
+        Duration answer_time = CrashAnalyzer::Options {}.verdict_timeout + milliseconds(20);
         /// Completed requests, kept so that an identical request sent by many callers is not taken for the cause of a crash.
         /// The size holds about one minute of a VM's traffic.
         RecentRequests::Options completed { seconds(60), 4096 };
--- a/Tests/LibRouter/TestCrashReporter.cpp
+++ b/Tests/LibRouter/TestCrashReporter.cpp
@@ -127,8 +127,8 @@
 TEST_CASE("Crashes that different VMs report are counted together, and all VMs quarantine the cause", "[crashes]")
 {
     ReporterTest test(4);
-    CHECK(test.report(0, "cause", "i-1") == CrashVerdict::MayGoOn);
-    CHECK(test.report(1, "cause", "i-2") == CrashVerdict::MayGoOn);
+    CHECK(test.report(0, "cause", "i-1") == CrashVerdict::MayRetry);
+    CHECK(test.report(1, "cause", "i-2") == CrashVerdict::MayRetry);
     CHECK(test.report(2, "cause", "i-3") == CrashVerdict::Quarantined);
     CHECK(test.all_hold("cause"));
     CHECK(run_loop_until(test.loop, [&] { return test.store.rows.size() == 1; }));
@@ -150,7 +150,7 @@
     asio::co_spawn(test.loop, carry(0, "victim", milliseconds(400), of_victim), asio::detached);
     asio::co_spawn(test.loop, carry(1, "cause", milliseconds(70), of_cause), asio::detached);
     REQUIRE(run_loop_until(test.loop, [&] { return of_victim && of_cause; }));
-    CHECK(of_victim == CrashVerdict::MayGoOn);
+    CHECK(of_victim == CrashVerdict::MayRetry);
     CHECK(of_cause == CrashVerdict::Quarantined);
     CHECK_FALSE(test.machines[0]->quarantine.held_for(request_named("victim")));
 }
@@ -191,7 +191,7 @@
     ReporterTest after(2);
     after.store.rows = before.store.rows;
     CHECK(after.report(0, "cause", "i-4") == CrashVerdict::Quarantined);
-    CHECK(after.report(0, "another", "i-4") == CrashVerdict::MayGoOn);
+    CHECK(after.report(0, "another", "i-4") == CrashVerdict::MayRetry);
 }
 
 TEST_CASE("A request whose quarantine has expired may be sent, and one further crash quarantines it for longer", "[crashes]")
@@ -209,7 +209,7 @@
     ReporterTest test(2);
     test.store.is_away = true;
     for (auto const* upstream : { "i-1", "i-2" })
-        CHECK(test.report(0, "cause", upstream) == CrashVerdict::MayGoOn);
+        CHECK(test.report(0, "cause", upstream) == CrashVerdict::MayRetry);
     CHECK(test.report(0, "cause", "i-3") == CrashVerdict::Quarantined);
     CHECK(test.all_hold("cause"));
     CHECK(test.store.rows.empty());
@@ -224,7 +224,7 @@
     ReporterTest test(2);
     test.machines[0]->reporter.note_completed(SERVICE, request_named("shared"));
     for (auto const* upstream : { "i-1", "i-2", "i-3", "i-4" })
-        CHECK(test.report(0, "shared", upstream) == CrashVerdict::MayGoOn);
+        CHECK(test.report(0, "shared", upstream) == CrashVerdict::MayRetry);
 }
 
 TEST_CASE("A request that completed elsewhere is not blamed for earlier crashes beside it", "[crashes]")
@@ -233,5 +233,5 @@
     test.report(0, "victim", "i-1");
     test.report(0, "victim", "i-2");
     test.machines[0]->reporter.note_completed(SERVICE, request_named("victim"));
-    CHECK(test.report(0, "victim", "i-3") == CrashVerdict::MayGoOn);
+    CHECK(test.report(0, "victim", "i-3") == CrashVerdict::MayRetry);
 }
