--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Two, so that the reports survive the loss of one analyzer.
-constexpr std::size_t ANALYZERS = 2;
+constexpr std::size_t ANALYZER_COUNT = 2;
 
 wire::Envelope report_message(CrashReport const& report)
 {
@@ -39,20 +39,20 @@
 }
 
 /// Collects the analyzers' answers for the coroutine that waits for the verdict.
-struct CrashReporter::Pending {
-    Pending(asio::any_io_executor const& executor, std::size_t analyzers)
+struct CrashReporter::PendingVerdict {
+    PendingVerdict(asio::any_io_executor const& executor, std::size_t analyzers)
         : signal(executor)
         , answers(analyzers)
     {
     }
 
     struct AnalyzerAnswer {
-        bool is_over = false;
+        bool is_complete = false;
         /// Empty if the analyzer did not answer.
         std::optional<CrashVerdict> verdict;
     };
 
-    void take(std::size_t analyzer, std::optional<CrashVerdict> verdict)
+    void set_answer(std::size_t analyzer, std::optional<CrashVerdict> verdict)
     {
         this->answers.at(analyzer) = { true, verdict };
         this->signal.notify();
@@ -65,7 +65,7 @@
         if (std::any_of(this->answers.begin(), this->answers.end(), [](auto const& answer) { return answer.verdict == CrashVerdict::Quarantined; }))
             return CrashVerdict::Quarantined;
         for (auto const& answer : this->answers) {
-            if (!answer.is_over)
+            if (!answer.is_complete)
                 return {};
             if (answer.verdict)
                 return answer.verdict;
@@ -91,13 +91,13 @@
 
 void CrashReporter::host()
 {
-    this->kernel.host(std::string(QUARANTINE_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->answer(request, respond); });
+    this->kernel.host(std::string(QUARANTINE_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->handle_request(request, respond); });
 }
 
 std::vector<std::string> CrashReporter::analyzers(std::string_view service) const
 {
     auto names = this->ranking.ranked_names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
-    names.resize(std::min(names.size(), ANALYZERS));
+    names.resize(std::min(names.size(), ANALYZER_COUNT));
     // A VM that knows of no others analyzes its own reports.
     if (names.empty())
         names.push_back(this->kernel.virtual_machine());
@@ -115,19 +115,19 @@
     this->reported.note(request, now);
     auto const executor = co_await asio::this_coro::executor;
     auto const names = this->analyzers(service);
-    auto const pending = std::make_shared<Pending>(executor, names.size());
+    auto const pending = std::make_shared<PendingVerdict>(executor, names.size());
     for (std::size_t i = 0; i < names.size(); ++i)
-        this->ask(names[i], report, [pending, i](auto verdict) { pending->take(i, verdict); });
+        this->request_verdict(names[i], report, [pending, i](auto verdict) { pending->set_answer(i, verdict); });
     while (!pending->verdict())
         co_await pending->signal.wait();
     co_return *pending->verdict();
 }
 
-void CrashReporter::ask(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer)
+void CrashReporter::request_verdict(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer)
 {
     if (analyzer == this->kernel.virtual_machine())
         return this->own_analyzer.handle_report(report, std::move(answer));
-    this->kernel.request(this->ranking.endpoint_of(analyzer), report_message(report), this->options.answer_time, [this, analyzer, answer](WireReply const& reply) {
+    this->kernel.request(this->ranking.endpoint_of(analyzer), report_message(report), this->options.answer_timeout, [this, analyzer, answer](WireReply const& reply) {
         if (!reply.is_error() && reply.value().has_crash_report_answer())
             return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayRetry);
         if (reply.is_error() && reply.error().kind != WireErrorKind::Remote)
@@ -153,7 +153,7 @@
     }
 }
 
-void CrashReporter::answer(wire::Envelope const& request, Kernel::Responder const& respond)
+void CrashReporter::handle_request(wire::Envelope const& request, Kernel::Responder const& respond)
 {
     if (this->quarantine.handle(request, respond))
         return;
--- a/Libraries/LibRouter/CrashReporter.h
+++ b/Libraries/LibRouter/CrashReporter.h
@@ -17,7 +17,7 @@
     struct Options {
         /// Timeout for an analyzer's answer: its own time limit plus a round trip between data centres. Most requests that wait
         /// for it did not cause the crash, and their callers notice the delay.
-        Duration answer_time = CrashAnalyzer::Options {}.verdict_timeout + milliseconds(20);
+        Duration answer_timeout = CrashAnalyzer::Options {}.verdict_timeout + milliseconds(20);
         /// Completed requests, kept so that an identical request sent by many callers is not taken for the cause of a crash.
         /// The size holds about one minute of a VM's traffic.
         RecentRequests::Options completed { seconds(60), 4096 };
@@ -35,11 +35,11 @@
     void note_completed(std::string const& service, RequestFingerprint const& request);
 
 private:
-    struct Pending;
+    struct PendingVerdict;
 
     std::vector<std::string> analyzers(std::string_view service) const;
-    void ask(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer);
-    void answer(wire::Envelope const& request, Kernel::Responder const& respond);
+    void request_verdict(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer);
+    void handle_request(wire::Envelope const& request, Kernel::Responder const& respond);
 
     Options options;
     Kernel& kernel;
