--- a/Libraries/LibRouter/QuotaClient.h
+++ b/Libraries/LibRouter/QuotaClient.h
@@ -23,13 +23,13 @@
     struct Options {
         QuotaCredit::Options credit {};
         /// Timeout for the answer of one VM.
-        Duration answer_time = milliseconds(300);
+        Duration answer_timeout = milliseconds(300);
         /// After a start of this VM or of the counting one, requests wait until the VMs have discovered each other: rejected
         /// requests would all be retried within the same second. This is the number of polls before this VM counts alone.
-        int longest_polls = 16;
-        Duration poll = milliseconds(100);
+        int maximum_polls = 16;
+        Duration poll_interval = milliseconds(100);
         /// Time without an answer after which the process is probed.
-        Duration silence = milliseconds(100);
+        Duration probe_delay = milliseconds(100);
         /// How often unused credit is returned if no request for new credit carries it.
         Duration return_interval = milliseconds(500);
     };
@@ -39,27 +39,27 @@
     void start();
 
     enum class Outcome {
-        Counted,
+        Admitted,
         OverLimit,
     };
     struct Decision {
-        Outcome outcome = Outcome::Counted;
+        Outcome outcome = Outcome::Admitted;
         /// When a caller over its limit should retry.
         Duration retry_after {};
     };
 
     /// Counts a request; the patience is the time that its caller is still willing to wait.
-    asio::awaitable<Decision> take(std::string account, double cost, Duration patience);
+    asio::awaitable<Decision> acquire(std::string account, double cost, Duration patience);
     /// Refunds the cost of a request that was counted but will not be executed.
-    void give_back(std::string const& account, double cost);
+    void refund(std::string const& account, double cost);
 
 private:
     /// Empty if none of the VMs asked is ready.
     asio::awaitable<std::optional<Decision>> ask_ranked(std::string account, double cost, Duration patience);
-    QuotaLedger::Ask ask_for(std::string const& account, double cost, Duration patience);
-    std::optional<QuotaLedger::Answer> ask_own(std::string const& account, double cost, Duration patience, QuotaCounter::Standing standing);
+    QuotaLedger::Ask create_ask(std::string const& account, double cost, Duration patience);
+    std::optional<QuotaLedger::Answer> ask_own(std::string const& account, double cost, Duration patience, QuotaCounter::Mode mode);
     asio::awaitable<std::optional<QuotaLedger::Answer>> ask(std::string virtual_machine, std::string account, double cost, Duration patience);
-    Decision settle(std::string const& account, double cost, QuotaLedger::Answer const& answer);
+    Decision apply_answer(std::string const& account, double cost, QuotaLedger::Answer const& answer);
     void return_unused();
 
     Options options;
@@ -68,7 +68,7 @@
     QuotaCounter& own_counter;
     QuotaCredit credit;
     /// The process that last answered for an account, by account name.
-    std::map<std::string, std::string, std::less<>> counters;
+    std::map<std::string, std::string, std::less<>> counting_processes;
 };
 
 }
--- a/Libraries/LibRouter/QuotaCounter.h
+++ b/Libraries/LibRouter/QuotaCounter.h
@@ -28,23 +28,23 @@
 class QuotaCounter {
 public:
     /// The numbers of VMs as seen by this one.
-    struct VirtualMachines {
+    struct MembershipCounts {
         /// VMs that answer, including this one.
         std::size_t live = 1;
         /// VMs that disappeared without leaving.
         std::size_t lost = 0;
         /// Live VMs that started within the quota window and may have lost their usage records.
-        std::size_t young = 0;
+        std::size_t recently_started = 0;
     };
 
     struct Hooks {
         std::function<std::shared_ptr<RouteTable const>()> routes;
         /// Whether this VM has discovered most of the others since its start.
         std::function<bool()> is_settled = [] { return true; };
-        std::function<VirtualMachines()> virtual_machines = [] { return VirtualMachines {}; };
+        std::function<MembershipCounts()> virtual_machines = [] { return MembershipCounts {}; };
     };
 
-    enum class Standing {
+    enum class Mode {
         /// Chosen by the ranking, as the first VM or as a fallback.
         Ranked,
         /// No other VM answered.
@@ -60,12 +60,12 @@
     bool is_settled() const { return this->hooks.is_settled(); }
     /// Empty if the local configuration has no limit for the account, or if this VM has not yet discovered the others and might
     /// count in parallel with another VM.
-    std::optional<QuotaLedger::Answer> take(std::string const& account, QuotaLedger::Ask const& ask, Standing standing);
-    void give_back(std::string const& account, double amount);
+    std::optional<QuotaLedger::Answer> grant(std::string const& account, QuotaLedger::Ask const& ask, Mode mode);
+    void return_credit(std::string const& account, double amount);
 
 private:
-    void answer(wire::Envelope const& request, Kernel::Responder const& respond);
-    QuotaLedger::Share share_of(std::string const& account, Standing standing) const;
+    void handle_request(wire::Envelope const& request, Kernel::Responder const& respond);
+    QuotaLedger::Share share_of(std::string const& account, Mode mode) const;
 
     QuotaLedger ledger;
     Kernel& kernel;
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -91,7 +91,7 @@
             co_await this->carry();
         // What has not run costs the account nothing.
         if (this->cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
-            this->state.quota->give_back(this->counted_account, this->cost);
+            this->state.quota->refund(this->counted_account, this->cost);
     }
     this->ledger.give_back_unused();
     this->limit.cancel();
@@ -107,8 +107,8 @@
     }
     if (this->cost <= 0)
         co_return true;
-    auto const decision = co_await this->state.quota->take(this->account, this->cost, this->patience_left());
-    if (decision.outcome == QuotaClient::Outcome::Counted)
+    auto const decision = co_await this->state.quota->acquire(this->account, this->cost, this->patience_left());
+    if (decision.outcome == QuotaClient::Outcome::Admitted)
         co_return true;
     if (this->stop_reason == StopReason::CallerLeft)
         this->log_end("caller_left", "over_limit", 0);
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -205,16 +205,16 @@
     return this->membership->count().part_of_each();
 }
 
-QuotaCounter::VirtualMachines Node::count_virtual_machines() const
+QuotaCounter::MembershipCounts Node::count_virtual_machines() const
 {
-    QuotaCounter::VirtualMachines count;
+    QuotaCounter::MembershipCounts count;
     // A VM that is only suspected may be the other side of a cut, which gives out its part as well.
     auto const seen = this->membership->count();
     count.live = std::max<std::size_t>(1, seen.live);
     count.lost = seen.missing;
     // Where all start for the first time nobody has forgotten anything.
     if (this->settings.start == NodeSettings::Start::Again)
-        count.young = this->membership->count_started_after(unix_milliseconds() - to_milliseconds(this->settings.quota_window));
+        count.recently_started = this->membership->count_started_after(unix_milliseconds() - to_milliseconds(this->settings.quota_window));
     return count;
 }
 
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -72,7 +72,7 @@
     /// This VM's part of the retry budgets' allowance; nothing while it may have used it before a start, or does not know
     /// yet how many share it.
     double retry_allowance_part() const;
-    QuotaCounter::VirtualMachines count_virtual_machines() const;
+    QuotaCounter::MembershipCounts count_virtual_machines() const;
     void create_quota();
     void create_quarantine();
     void create_limiter();
--- a/Tests/LibRouter/TestQuotaClient.cpp
+++ b/Tests/LibRouter/TestQuotaClient.cpp
@@ -38,8 +38,8 @@
         // The ranking considers only VMs that host this service.
         this->kernel->host(std::string(PLACEMENT_SERVICE), [](wire::Envelope const&, Kernel::Responder const&) {});
         QuotaClient::Options options;
-        options.poll = milliseconds(5);
-        options.silence = milliseconds(20);
+        options.poll_interval = milliseconds(5);
+        options.probe_delay = milliseconds(20);
         this->client = std::make_unique<QuotaClient>(options, *this->kernel, this->ranking, *this->counter);
         this->kernel->start();
     }
@@ -49,7 +49,7 @@
     std::unique_ptr<QuotaCounter> counter;
     std::unique_ptr<QuotaClient> client;
     bool is_settled = true;
-    QuotaCounter::VirtualMachines seen { 2, 0, 0 };
+    QuotaCounter::MembershipCounts seen { 2, 0, 0 };
 };
 
 struct QuotaTest {
@@ -79,8 +79,8 @@
         int ended = 0;
         int counted = 0;
         auto const take_one = [&](double cost) -> asio::awaitable<void> {
-            auto const decision = co_await this->asking->client->take(ACCOUNT, cost, seconds(5));
-            counted += decision.outcome == QuotaClient::Outcome::Counted ? 1 : 0;
+            auto const decision = co_await this->asking->client->acquire(ACCOUNT, cost, seconds(5));
+            counted += decision.outcome == QuotaClient::Outcome::Admitted ? 1 : 0;
             ++ended;
         };
         for (auto const cost : costs)
@@ -102,7 +102,7 @@
     QuotaTest test(100'000);
     // The refunded credit is less than the next, concurrent requests need together.
     REQUIRE(test.take({ 150 }) == 1);
-    test.asking->client->give_back(ACCOUNT, 150);
+    test.asking->client->refund(ACCOUNT, 150);
     CHECK(test.take({ 200, 200, 200, 200, 200 }) == 5);
 }
 
@@ -161,8 +161,8 @@
     test.asking->is_settled = false;
     bool is_counted = false;
     auto const take_one = [&]() -> asio::awaitable<void> {
-        auto const decision = co_await test.asking->client->take(ACCOUNT, 200, seconds(5));
-        is_counted = decision.outcome == QuotaClient::Outcome::Counted;
+        auto const decision = co_await test.asking->client->acquire(ACCOUNT, 200, seconds(5));
+        is_counted = decision.outcome == QuotaClient::Outcome::Admitted;
     };
     asio::co_spawn(test.loop, take_one(), asio::detached);
     test.loop.poll();
