--- a/Libraries/LibRouter/PlainFlow.cpp
+++ b/Libraries/LibRouter/PlainFlow.cpp
@@ -232,7 +232,7 @@
         attempt.reason = to_string(acquired.error());
         this->state.prober.note_unreachable(upstream, acquired.error());
         this->state.selector.note_end(upstream.identity, UpstreamOutcome::Bad, Duration::zero(), monotonic_now());
-        this->state.limiter->give_back(upstream.identity);
+        this->state.limiter->return_turn(upstream.identity);
         co_return attempt;
     }
     auto const connection = acquired.release_value();
@@ -241,7 +241,7 @@
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity)) {
         this->state.pool.release(*address, connection);
         this->state.selector.note_end(upstream.identity, UpstreamOutcome::Full, Duration::zero(), monotonic_now());
-        this->state.limiter->give_back(upstream.identity);
+        this->state.limiter->return_turn(upstream.identity);
         attempt.reason = "upstream_left";
         co_return attempt;
     }
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -189,8 +189,8 @@
     auto const rate = this->state.limiter->rate_of(upstream);
     if (!rate)
         co_return true;
-    UpstreamLimiter::Ask ask { upstream, longest_wait, turn_patience };
-    auto const turn = co_await this->state.limiter->take(std::move(ask));
+    UpstreamLimiter::TurnRequest ask { upstream, longest_wait, turn_patience };
+    auto const turn = co_await this->state.limiter->request_turn(std::move(ask));
     bool const is_granted = turn.outcome == UpstreamLimiter::Turn::Outcome::Granted;
     std::string const outcome = is_granted ? "granted" : "denied";
     LogLine("upstream_turn").with("request", this->request.identifier).with("upstream", upstream).with("rate", *rate).with("outcome", outcome).with("wait_ms", to_milliseconds(turn.wait));
@@ -207,7 +207,7 @@
     }
     if (!this->is_stopped())
         co_return true;
-    this->state.limiter->give_back(upstream);
+    this->state.limiter->return_turn(upstream);
     co_return false;
 }
 
--- a/Libraries/LibRouter/StreamFlow.cpp
+++ b/Libraries/LibRouter/StreamFlow.cpp
@@ -194,7 +194,7 @@
             continue;
         this->failed_engines.push_back(engines[i]);
         for (std::size_t taken = 0; taken < i; ++taken)
-            this->state.limiter->give_back(engines[taken]);
+            this->state.limiter->return_turn(engines[taken]);
         co_return false;
     }
     co_return true;
--- a/Libraries/LibRouter/UpstreamLimitCounter.cpp
+++ b/Libraries/LibRouter/UpstreamLimitCounter.cpp
@@ -13,9 +13,9 @@
 
 /// The share of the limit that a VM grants while it is not first in the ranking. Both VMs may grant turns until all VMs know
 /// that the first one is gone.
-constexpr double STAND_IN_PART = 0.25;
+constexpr double FALLBACK_SHARE = 0.25;
 /// Requests per second that are sent to an upstream even if its limit is lower: only an answer shows that the limit is lifted.
-constexpr double SLOWEST_RATE = 0.25;
+constexpr double MINIMUM_REQUESTS_PER_SECOND = 0.25;
 
 }
 
@@ -32,27 +32,27 @@
     this->kernel.host(std::string(UPSTREAM_LIMIT_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->answer(request, respond); });
 }
 
-double UpstreamLimitCounter::part_of_limit(std::string const& upstream, Standing standing) const
+double UpstreamLimitCounter::share_of_limit(std::string const& upstream, Mode mode) const
 {
     auto const machines = this->hooks.virtual_machines();
-    if (standing == Standing::Alone)
+    if (mode == Mode::Alone)
         return machines.part_of_each();
     auto const part = static_cast<double>(std::max<std::size_t>(1, machines.live)) * machines.part_of_each();
-    return this->ranking.is_own(upstream) ? part : part * STAND_IN_PART;
+    return this->ranking.is_own(upstream) ? part : part * FALLBACK_SHARE;
 }
 
-std::optional<UpstreamPacer::Turn> UpstreamLimitCounter::take(Ask const& ask, Standing standing)
+std::optional<UpstreamPacer::Turn> UpstreamLimitCounter::grant_turn(TurnRequest const& turn_request, Mode mode)
 {
-    auto const rate = this->book.rate_of(ask.upstream);
+    auto const rate = this->book.rate_of(turn_request.upstream);
     if (!rate)
         return UpstreamPacer::Turn { UpstreamPacer::Turn::Outcome::Granted, {} };
-    if (standing == Standing::Ranked && !this->hooks.is_settled())
+    if (mode == Mode::Ranked && !this->hooks.is_settled())
         return {};
-    auto const paced = std::max(*rate, SLOWEST_RATE) * this->part_of_limit(ask.upstream, standing);
-    return this->pacer.take(ask.upstream, { paced, ask.longest_wait, ask.patience }, monotonic_now());
+    auto const paced = std::max(*rate, MINIMUM_REQUESTS_PER_SECOND) * this->share_of_limit(turn_request.upstream, mode);
+    return this->pacer.take(turn_request.upstream, { paced, turn_request.longest_wait, turn_request.patience }, monotonic_now());
 }
 
-void UpstreamLimitCounter::give_back(std::string_view upstream) { this->pacer.give_back(upstream, monotonic_now()); }
+void UpstreamLimitCounter::return_turn(std::string_view upstream) { this->pacer.give_back(upstream, monotonic_now()); }
 
 void UpstreamLimitCounter::forget_unlimited()
 {
@@ -78,7 +78,7 @@
     if (request.has_upstream_limit_statement())
         this->note(request.upstream_limit_statement());
     else if (request.has_upstream_turn_return())
-        this->give_back(request.upstream_turn_return().upstream());
+        this->return_turn(request.upstream_turn_return().upstream());
     else if (request.has_upstream_turn_ask())
         this->answer_turn(request.upstream_turn_ask(), respond);
     else if (request.has_get_upstream_limits())
@@ -95,11 +95,11 @@
         return;
     }
     this->note(message.statement());
-    Ask ask;
-    ask.upstream = message.statement().upstream();
-    ask.longest_wait = Duration(message.longest_wait_microseconds());
-    ask.patience = Duration(message.patience_microseconds());
-    auto const turn = this->take(ask, Standing::Ranked);
+    TurnRequest turn_request;
+    turn_request.upstream = message.statement().upstream();
+    turn_request.longest_wait = Duration(message.longest_wait_microseconds());
+    turn_request.patience = Duration(message.patience_microseconds());
+    auto const turn = this->grant_turn(turn_request, Mode::Ranked);
     if (!turn) {
         respond(error_reply(wire::ERROR_CODE_NOT_READY));
         return;
@@ -108,7 +108,7 @@
     auto* answer = reply.mutable_upstream_turn_answer();
     answer->set_is_granted(turn->outcome == UpstreamPacer::Turn::Outcome::Granted);
     answer->set_wait_microseconds(turn->wait.count());
-    write_statement(ask.upstream, this->book, monotonic_now(), *answer->mutable_statement());
+    write_statement(turn_request.upstream, this->book, monotonic_now(), *answer->mutable_statement());
     respond(std::move(reply));
 }
 
--- a/Libraries/LibRouter/UpstreamLimitCounter.h
+++ b/Libraries/LibRouter/UpstreamLimitCounter.h
@@ -35,7 +35,7 @@
         std::function<bool(std::string_view)> is_listed = [](std::string_view) { return true; };
     };
 
-    enum class Standing {
+    enum class Mode {
         /// Chosen by the ranking, as the first VM or as a fallback.
         Ranked,
         /// No other VM answered.
@@ -43,7 +43,7 @@
     };
 
     /// A request that asks for a turn at an upstream.
-    struct Ask {
+    struct TurnRequest {
         std::string upstream;
         /// How long the request may wait for its turn; zero if it should go to another upstream instead.
         Duration longest_wait {};
@@ -57,8 +57,8 @@
     /// Registers the service. Call before the kernel starts.
     void host();
     /// Empty while this VM has not discovered the others: it might grant turns in parallel with another VM.
-    std::optional<UpstreamPacer::Turn> take(Ask const& ask, Standing standing);
-    void give_back(std::string_view upstream);
+    std::optional<UpstreamPacer::Turn> grant_turn(TurnRequest const& turn_request, Mode mode);
+    void return_turn(std::string_view upstream);
     /// Adds limits that were received from another VM.
     void note(wire::UpstreamLimitStatement const& statement);
     void note(wire::UpstreamLimitStatements const& statements);
@@ -70,7 +70,7 @@
     void answer(wire::Envelope const& request, Kernel::Responder const& respond);
     void answer_turn(wire::UpstreamTurnAsk const& message, Kernel::Responder const& respond);
     void answer_limits(Kernel::Responder const& respond) const;
-    double part_of_limit(std::string const& upstream, Standing standing) const;
+    double share_of_limit(std::string const& upstream, Mode mode) const;
 
     Kernel& kernel;
     VirtualMachineRanking& ranking;
--- a/Libraries/LibRouter/UpstreamLimiter.cpp
+++ b/Libraries/LibRouter/UpstreamLimiter.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// The counting VM and one fallback.
-constexpr std::size_t MOST_ASKED = 2;
+constexpr std::size_t MAXIMUM_VMS_ASKED = 2;
 
 }
 
@@ -40,51 +40,51 @@
     return change;
 }
 
-asio::awaitable<UpstreamLimiter::Turn> UpstreamLimiter::take(Ask ask)
+asio::awaitable<UpstreamLimiter::Turn> UpstreamLimiter::request_turn(TurnRequest turn_request)
 {
-    if (!this->book.rate_of(ask.upstream))
+    if (!this->book.rate_of(turn_request.upstream))
         co_return Turn { Turn::Outcome::Granted, {} };
-    Turn turn { Turn::Outcome::Denied, this->options.unsettled_pause };
+    Turn turn { Turn::Outcome::Denied, this->options.discovery_delay };
     if (this->own_counter.is_settled())
-        turn = co_await this->ask_ranked(ask);
+        turn = co_await this->ask_ranked(turn_request);
     if (turn.outcome == Turn::Outcome::Denied)
-        this->paused_until.insert_or_assign(ask.upstream, monotonic_now() + std::min(turn.wait, this->options.longest_pause));
+        this->paused_until.insert_or_assign(turn_request.upstream, monotonic_now() + std::min(turn.wait, this->options.maximum_pause));
     co_return turn;
 }
 
-asio::awaitable<UpstreamLimiter::Turn> UpstreamLimiter::ask_ranked(Ask ask)
+asio::awaitable<UpstreamLimiter::Turn> UpstreamLimiter::ask_ranked(TurnRequest turn_request)
 {
-    auto names = this->ranking.ranked_names(ask.upstream);
-    names.resize(std::min(names.size(), MOST_ASKED));
+    auto names = this->ranking.ranked_names(turn_request.upstream);
+    names.resize(std::min(names.size(), MAXIMUM_VMS_ASKED));
     for (auto const& name : names) {
         std::optional<Turn> turn;
         if (name == this->kernel.virtual_machine())
-            turn = this->own_counter.take(ask, UpstreamLimitCounter::Standing::Ranked);
+            turn = this->own_counter.grant_turn(turn_request, UpstreamLimitCounter::Mode::Ranked);
         else
-            turn = co_await this->ask_other(name, ask);
+            turn = co_await this->ask_other(name, turn_request);
         if (turn)
             co_return *turn;
     }
-    LogLine("upstream_limit_counted_locally").with("upstream", ask.upstream);
-    auto const alone = this->own_counter.take(ask, UpstreamLimitCounter::Standing::Alone);
-    co_return alone.value_or(Turn { Turn::Outcome::Denied, this->options.unsettled_pause });
+    LogLine("upstream_limit_counted_locally").with("upstream", turn_request.upstream);
+    auto const fallback = this->own_counter.grant_turn(turn_request, UpstreamLimitCounter::Mode::Alone);
+    co_return fallback.value_or(Turn { Turn::Outcome::Denied, this->options.discovery_delay });
 }
 
-asio::awaitable<std::optional<UpstreamLimiter::Turn>> UpstreamLimiter::ask_other(std::string virtual_machine, Ask ask)
+asio::awaitable<std::optional<UpstreamLimiter::Turn>> UpstreamLimiter::ask_other(std::string virtual_machine, TurnRequest turn_request)
 {
     auto envelope = message_to(UPSTREAM_LIMIT_SERVICE);
     auto* message = envelope.mutable_upstream_turn_ask();
-    write_statement(ask.upstream, this->book, monotonic_now(), *message->mutable_statement());
-    message->set_longest_wait_microseconds(ask.longest_wait.count());
-    message->set_patience_microseconds(ask.patience.count());
-    Kernel::Patience const answer_patience { this->options.answer_time, this->options.silence };
+    write_statement(turn_request.upstream, this->book, monotonic_now(), *message->mutable_statement());
+    message->set_longest_wait_microseconds(turn_request.longest_wait.count());
+    message->set_patience_microseconds(turn_request.patience.count());
+    Kernel::Patience const answer_patience { this->options.answer_timeout, this->options.probe_delay };
     auto const answered = co_await call_service(this->kernel, this->ranking.endpoint_of(virtual_machine), std::move(envelope), answer_patience);
     if (answered.is_error()) {
         auto const& error = answered.error();
         // A VM that answers with an error is alive, so it stays in the ranking for other keys.
         if (error.kind != WireErrorKind::Remote)
             this->ranking.note_unresponsive(virtual_machine);
-        LogLine("upstream_limit_counter_unresponsive").with("vm", virtual_machine).with("upstream", ask.upstream).with("error", to_string(error.kind));
+        LogLine("upstream_limit_counter_unresponsive").with("vm", virtual_machine).with("upstream", turn_request.upstream).with("error", to_string(error.kind));
         co_return std::nullopt;
     }
     auto const& reply = answered.value();
@@ -95,13 +95,13 @@
     co_return Turn { answer.is_granted() ? Turn::Outcome::Granted : Turn::Outcome::Denied, Duration(answer.wait_microseconds()) };
 }
 
-void UpstreamLimiter::give_back(std::string const& upstream)
+void UpstreamLimiter::return_turn(std::string const& upstream)
 {
     if (!this->book.rate_of(upstream))
         return;
     auto const endpoint = this->ranking.first_endpoint(upstream);
     if (endpoint == this->kernel.endpoint()) {
-        this->own_counter.give_back(upstream);
+        this->own_counter.return_turn(upstream);
         return;
     }
     auto envelope = message_to(UPSTREAM_LIMIT_SERVICE);
@@ -117,7 +117,7 @@
     return std::chrono::duration_cast<Duration>(found->second - now);
 }
 
-void UpstreamLimiter::hear_of(std::string const& endpoint, std::uint64_t other)
+void UpstreamLimiter::handle_digest(std::string const& endpoint, std::uint64_t other)
 {
     if (other == this->digest() || endpoint.empty() || std::exchange(this->is_fetching, true))
         return;
--- a/Libraries/LibRouter/UpstreamLimiter.h
+++ b/Libraries/LibRouter/UpstreamLimiter.h
@@ -19,18 +19,18 @@
 public:
     struct Options {
         /// Timeout for the answer of one VM.
-        Duration answer_time = milliseconds(150);
+        Duration answer_timeout = milliseconds(150);
         /// Time without an answer after which the process is probed.
-        Duration silence = milliseconds(50);
+        Duration probe_delay = milliseconds(50);
         /// The longest time for which a VM that was denied a turn requests no other one, while other upstreams can take its
         /// requests.
-        Duration longest_pause = milliseconds(250);
+        Duration maximum_pause = milliseconds(250);
         /// Delay before a VM that has not yet discovered the others checks again.
-        Duration unsettled_pause = milliseconds(100);
+        Duration discovery_delay = milliseconds(100);
         /// Timeout for fetching the limits known to another VM.
         Duration fetch_timeout = milliseconds(500);
     };
-    using Ask = UpstreamLimitCounter::Ask;
+    using TurnRequest = UpstreamLimitCounter::TurnRequest;
     using Turn = UpstreamPacer::Turn;
 
     /// The book is the one of this VM.
@@ -41,23 +41,23 @@
     std::optional<double> rate_of(std::string_view upstream) const { return this->book.rate_of(upstream); }
 
     /// Requests a turn; granted at once if the upstream has no limit.
-    asio::awaitable<Turn> take(Ask ask);
+    asio::awaitable<Turn> request_turn(TurnRequest turn_request);
     /// Returns the turn of a request that was not sent.
-    void give_back(std::string const& upstream);
+    void return_turn(std::string const& upstream);
 
     /// Time until a turn should be requested again; zero if it may be requested now.
     Duration pause_left(std::string_view upstream, MonotonicTime now) const;
     /// Digest of the limits known to this VM.
     std::uint64_t digest() const { return this->book.digest(); }
     /// Handles the digest of another VM; fetches that VM's limits if it differs from this one's.
-    void hear_of(std::string const& endpoint, std::uint64_t other);
+    void handle_digest(std::string const& endpoint, std::uint64_t other);
 
     /// Removes the state of upstreams that no longer have a limit.
     void forget_unlimited();
 
 private:
-    asio::awaitable<Turn> ask_ranked(Ask ask);
-    asio::awaitable<std::optional<Turn>> ask_other(std::string virtual_machine, Ask ask);
+    asio::awaitable<Turn> ask_ranked(TurnRequest turn_request);
+    asio::awaitable<std::optional<Turn>> ask_other(std::string virtual_machine, TurnRequest turn_request);
 
     Options options;
     Kernel& kernel;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -253,7 +253,7 @@
     auto& ranking = this->placement->ranking();
     this->limit_counter = std::make_unique<UpstreamLimitCounter>(*this->kernel, ranking, this->upstream_limits, std::move(hooks));
     this->limiter = std::make_unique<UpstreamLimiter>(UpstreamLimiter::Options {}, *this->kernel, ranking, this->upstream_limits, *this->limit_counter);
-    this->membership->set_upstream_limits_hooks([this] { return this->limiter->digest(); }, [this](auto const& endpoint, auto digest) { this->limiter->hear_of(endpoint, digest); });
+    this->membership->set_upstream_limits_hooks([this] { return this->limiter->digest(); }, [this](auto const& endpoint, auto digest) { this->limiter->handle_digest(endpoint, digest); });
     this->state.limiter = this->limiter.get();
 }
 
--- a/Tests/LibRouter/TestUpstreamLimiter.cpp
+++ b/Tests/LibRouter/TestUpstreamLimiter.cpp
@@ -27,12 +27,12 @@
         // The ranking considers only VMs that host this service.
         this->kernel->host(std::string(PLACEMENT_SERVICE), [](wire::Envelope const&, Kernel::Responder const&) {});
         UpstreamLimiter::Options options;
-        options.silence = milliseconds(20);
+        options.probe_delay = milliseconds(20);
         this->limiter = std::make_unique<UpstreamLimiter>(options, *this->kernel, this->ranking, this->book, *this->counter);
         this->kernel->start();
     }
 
-    void hear(std::optional<double> rate) { this->limiter->note(UPSTREAM, { rate, monotonic_now() }); }
+    void set_limit(std::optional<double> rate) { this->limiter->note(UPSTREAM, { rate, monotonic_now() }); }
 
     std::unique_ptr<Kernel> kernel;
     VirtualMachineRanking ranking;
@@ -63,8 +63,8 @@
     {
         std::optional<UpstreamLimiter::Turn> turn;
         auto const take_one = [&]() -> asio::awaitable<void> {
-            UpstreamLimiter::Ask ask { UPSTREAM, longest_wait, {} };
-            turn = co_await machine.limiter->take(std::move(ask));
+            UpstreamLimiter::TurnRequest ask { UPSTREAM, longest_wait, {} };
+            turn = co_await machine.limiter->request_turn(std::move(ask));
         };
         asio::co_spawn(this->loop, take_one(), asio::detached);
         REQUIRE(run_loop_until(this->loop, [&] { return turn.has_value(); }));
@@ -91,8 +91,8 @@
 {
     LimiterTest test;
     CHECK(is_granted(test.take(*test.asking)));
-    test.asking->hear(0.5);
-    test.counting->hear(0.5);
+    test.asking->set_limit(0.5);
+    test.counting->set_limit(0.5);
     auto const first = test.take(*test.asking, LONG);
     auto const second = test.take(*test.counting, LONG);
     auto const third = test.take(*test.asking, LONG);
@@ -103,7 +103,7 @@
 TEST_CASE("The counting VM learns of a limit from turn requests", "[upstream-limit]")
 {
     LimiterTest test;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     CHECK_FALSE(is_granted(test.take(*test.asking)));
     CHECK(test.counting->book.rate_of(UPSTREAM) == 0.5);
     CHECK(test.asking->limiter->pause_left(UPSTREAM, monotonic_now()) > Duration::zero());
@@ -112,10 +112,10 @@
 TEST_CASE("A VM that still requests turns learns that the limit was lifted", "[upstream-limit]")
 {
     LimiterTest test;
-    test.asking->hear(0.5);
-    test.counting->hear(0.5);
+    test.asking->set_limit(0.5);
+    test.counting->set_limit(0.5);
     CHECK_FALSE(is_granted(test.take(*test.asking)));
-    test.counting->hear({});
+    test.counting->set_limit({});
     CHECK(is_granted(test.take(*test.asking)));
     CHECK_FALSE(test.asking->book.rate_of(UPSTREAM));
     CHECK(test.asking->limiter->pause_left(UPSTREAM, monotonic_now()) == Duration::zero());
@@ -124,16 +124,16 @@
 TEST_CASE("The counting VM is notified that a limit was lifted", "[upstream-limit]")
 {
     LimiterTest test;
-    test.counting->hear(0.5);
-    test.asking->hear(0.5);
-    test.asking->hear({});
+    test.counting->set_limit(0.5);
+    test.asking->set_limit(0.5);
+    test.asking->set_limit({});
     CHECK(run_loop_until(test.loop, [&] { return !test.counting->book.rate_of(UPSTREAM); }));
 }
 
 TEST_CASE("If the counting VM does not answer, the next one counts with a part of the limit", "[upstream-limit][kill]")
 {
     LimiterTest test;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     test.counting->kernel->stop();
     auto const first = test.take(*test.asking, LONG);
     CHECK(is_granted(first));
@@ -149,7 +149,7 @@
 TEST_CASE("A VM that has just started grants itself no turns in parallel with the counting VM", "[upstream-limit][kill]")
 {
     LimiterTest test;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     test.asking->is_settled = false;
     CHECK_FALSE(is_granted(test.take(*test.asking, LONG)));
     test.asking->is_settled = true;
@@ -159,7 +159,7 @@
 TEST_CASE("An upstream with a limit of zero still gets occasional requests, which show when the limit is lifted", "[upstream-limit]")
 {
     LimiterTest test;
-    test.counting->hear(0.0);
+    test.counting->set_limit(0.0);
     auto const first = test.take(*test.counting, LONG);
     auto const second = test.take(*test.counting, LONG);
     CHECK(is_granted(first));
@@ -169,9 +169,9 @@
 TEST_CASE("A returned turn is granted to the next request", "[upstream-limit]")
 {
     LimiterTest test;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     auto const first = test.take(*test.asking, LONG);
-    test.asking->limiter->give_back(UPSTREAM);
+    test.asking->limiter->return_turn(UPSTREAM);
     auto const second = test.take(*test.asking, LONG);
     CHECK(std::abs(seconds_between(first, second)) < 1);
 }
@@ -182,11 +182,11 @@
     auto& one = *test.asking;
     auto& other = *test.counting;
     one.book.take(UPSTREAM, { 0.5, monotonic_now() });
-    other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
+    other.limiter->handle_digest(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return other.book.rate_of(UPSTREAM) == 0.5; }));
     one.book.take(UPSTREAM, { {}, monotonic_now() });
     // A VM without a limit may know that the limit was lifted.
-    other.limiter->hear_of(one.kernel->endpoint(), one.limiter->digest());
+    other.limiter->handle_digest(one.kernel->endpoint(), one.limiter->digest());
     CHECK(run_loop_until(test.loop, [&] { return !other.book.rate_of(UPSTREAM); }));
 }
 
@@ -194,7 +194,7 @@
 {
     LimiterTest test;
     test.counting->knows_upstream = false;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     test.take(*test.asking);
     CHECK_FALSE(test.counting->book.statement_of(UPSTREAM));
 }
@@ -205,7 +205,7 @@
 {
     LimiterTest test;
     test.counting->knows_upstream = false;
-    test.asking->hear(0.5);
+    test.asking->set_limit(0.5);
     int granted = 0;
     for (int i = 0; i < 5; ++i)
         granted += is_granted(test.take(*test.asking)) ? 1 : 0;
