--- a/Libraries/LibRouter/RegistryFollower.cpp
+++ b/Libraries/LibRouter/RegistryFollower.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int MOST_DOUBLINGS = 4;
+constexpr int MAXIMUM_DOUBLINGS = 4;
 constexpr std::string_view ANSWERED = "answered";
 
 void log_failure(std::string_view what, PlatformError error, int failures)
@@ -43,12 +43,12 @@
 
 // Exponential backoff with jitter that differs by VM and attempt. The hook lengthens all pauses in proportion, so that VMs
 // that watch on behalf of others spread their retries from the first one on.
-asio::awaitable<void> RegistryFollower::pause(int failures)
+asio::awaitable<void> RegistryFollower::wait_before_retry(int failures)
 {
-    auto const doubled = this->options.first_pause * (1 << std::min(failures, MOST_DOUBLINGS));
-    auto const usual = std::min(this->options.longest_pause, Duration(doubled));
-    auto const shared = to_seconds(this->hooks.longest_pause(this->options.longest_pause)) / to_seconds(this->options.longest_pause);
-    auto const seed = this->options.spread + static_cast<std::uint64_t>(failures);
+    auto const doubled = this->options.initial_retry_interval * (1 << std::min(failures, MAXIMUM_DOUBLINGS));
+    auto const usual = std::min(this->options.maximum_retry_interval, Duration(doubled));
+    auto const shared = to_seconds(this->hooks.maximum_retry_interval(this->options.maximum_retry_interval)) / to_seconds(this->options.maximum_retry_interval);
+    auto const seed = this->options.retry_seed + static_cast<std::uint64_t>(failures);
     auto const percent = 50 + static_cast<std::int64_t>(XXH3_64bits(&seed, sizeof(seed)) % 50);
     co_await this->sleep(from_seconds(to_seconds(usual) * shared * static_cast<double>(percent) / 100));
 }
@@ -60,20 +60,20 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<void> RegistryFollower::wait_until_it_watches(std::string_view what)
+asio::awaitable<void> RegistryFollower::wait_until_watching(std::string_view what)
 {
     if (this->hooks.watches())
         co_return;
     LogLine("registry_watch_stopped").with("what", what);
     while (!this->hooks.watches())
-        co_await this->sleep(this->options.idle_check);
+        co_await this->sleep(this->options.idle_check_interval);
     LogLine("registry_watch_started").with("what", what);
 }
 
-asio::awaitable<void> RegistryFollower::wait_until_upstreams_are_heard()
+asio::awaitable<void> RegistryFollower::wait_until_upstreams_followed()
 {
     while (!this->upstreams_followed)
-        co_await this->sleep(this->options.idle_check);
+        co_await this->sleep(this->options.idle_check_interval);
 }
 
 asio::awaitable<void> RegistryFollower::follow_configuration()
@@ -83,9 +83,9 @@
     while (true) {
         Result<ConfigurationNews, PlatformError> news = Failure { PlatformError::Unavailable };
         if (position)
-            co_await this->wait_until_it_watches("configuration");
+            co_await this->wait_until_watching("configuration");
         if (position)
-            news = co_await this->registry.watch_configuration(*position, wait_after(failures, this->options.configuration_watch));
+            news = co_await this->registry.watch_configuration(*position, wait_after(failures, this->options.configuration_watch_timeout));
         else
             news = co_await this->registry.read_configuration();
         this->configuration_followed = !news.is_error();
@@ -97,8 +97,8 @@
                 continue;
             }
             log_failure("configuration", news.error(), ++failures);
-            co_await this->pause(failures);
-            co_await this->wait_until_upstreams_are_heard();
+            co_await this->wait_before_retry(failures);
+            co_await this->wait_until_upstreams_followed();
             continue;
         }
         if (failures > 0)
@@ -109,9 +109,9 @@
             this->hooks.on_configuration(*news.value().document);
         this->hooks.on_evacuations(news.value().evacuations);
         if (was_empty_read)
-            co_await this->pause(1);
+            co_await this->wait_before_retry(1);
         else if (news.value().document || !news.value().evacuations.evacuations.empty())
-            co_await this->sleep(this->hooks.gathering());
+            co_await this->sleep(this->hooks.batching_delay());
     }
 }
 
@@ -124,9 +124,9 @@
         bool has_failed = false;
         bool has_news = false;
         if (position) {
-            co_await this->wait_until_it_watches("upstreams");
+            co_await this->wait_until_watching("upstreams");
             position = std::max(*position, this->hooks.upstreams_version());
-            auto const news = co_await this->registry.watch_upstreams(*position, wait_after(failures, this->options.upstreams_watch));
+            auto const news = co_await this->registry.watch_upstreams(*position, wait_after(failures, this->options.upstreams_watch_timeout));
             has_failed = news.is_error();
             if (has_failed)
                 error = news.error();
@@ -155,7 +155,7 @@
             if (failures > 0)
                 LogLine("registry_recovered").with("what", "upstreams").with("failures", std::exchange(failures, 0));
             if (has_news)
-                co_await this->sleep(this->hooks.gathering());
+                co_await this->sleep(this->hooks.batching_delay());
             continue;
         }
         if (error == PlatformError::HistoryGone) {
@@ -165,7 +165,7 @@
         }
         log_failure("upstreams", error, ++failures);
         this->hooks.on_upstreams_state(UpstreamList::RegistryState::Away);
-        co_await this->pause(failures);
+        co_await this->wait_before_retry(failures);
     }
 }
 
--- a/Libraries/LibRouter/RegistryFollower.h
+++ b/Libraries/LibRouter/RegistryFollower.h
@@ -15,15 +15,15 @@
 public:
     struct Options {
         /// Timeout of one watch of the upstreams; short enough to detect a registry that has stopped answering.
-        Duration upstreams_watch = seconds(4);
+        Duration upstreams_watch_timeout = seconds(4);
         /// Timeout of one watch of the configuration; as short, since other VMs rely on this one's updates.
-        Duration configuration_watch = seconds(4);
+        Duration configuration_watch_timeout = seconds(4);
         /// How often a VM that does not watch checks whether it should.
-        Duration idle_check = milliseconds(200);
-        Duration first_pause = milliseconds(150);
-        Duration longest_pause = milliseconds(900);
+        Duration idle_check_interval = milliseconds(200);
+        Duration initial_retry_interval = milliseconds(150);
+        Duration maximum_retry_interval = milliseconds(900);
         /// Seed that spreads the retries of different VMs; any number that differs by VM.
-        std::uint64_t spread = 0;
+        std::uint64_t retry_seed = 0;
     };
 
     struct Hooks {
@@ -39,9 +39,9 @@
         /// Whether this VM should watch the registry, as opposed to relying on others.
         std::function<bool()> watches = [] { return true; };
         /// Delay after each update during which further ones are collected into one batch.
-        std::function<Duration()> gathering = [] { return milliseconds(200); };
+        std::function<Duration()> batching_delay = [] { return milliseconds(200); };
         /// Adjusts the longest pause between retries.
-        std::function<Duration(Duration usual)> longest_pause = [](Duration usual) { return usual; };
+        std::function<Duration(Duration usual)> maximum_retry_interval = [](Duration usual) { return usual; };
         /// The version of the list of upstreams, including updates from other VMs.
         std::function<std::int64_t()> upstreams_version = [] { return std::int64_t { 0 }; };
     };
@@ -58,10 +58,10 @@
 private:
     asio::awaitable<void> follow_configuration();
     asio::awaitable<void> follow_upstreams();
-    asio::awaitable<void> pause(int failures);
+    asio::awaitable<void> wait_before_retry(int failures);
     asio::awaitable<void> sleep(Duration duration);
-    asio::awaitable<void> wait_until_it_watches(std::string_view what);
-    asio::awaitable<void> wait_until_upstreams_are_heard();
+    asio::awaitable<void> wait_until_watching(std::string_view what);
+    asio::awaitable<void> wait_until_upstreams_followed();
 
     Options options;
     asio::io_context& loop;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -156,7 +156,7 @@
     this->serve_metrics();
 
     RegistryFollower::Options follow;
-    follow.spread = spread_of(this->settings.virtual_machine);
+    follow.retry_seed = spread_of(this->settings.virtual_machine);
     this->follower = std::make_unique<RegistryFollower>(follow, this->loop, this->adapters.registry, this->hooks());
     if (this->settings.role_changes == NodeSettings::RoleChanges::On)
         this->create_role_controller();
@@ -306,8 +306,8 @@
         this->metrics.increment("spurtide_registry_calls_total", "Calls to the registry by what they were for and how they ended", { { "what", std::string(what) }, { "result", std::string(result) } });
     };
     hooks.watches = [this] { return this->relay->watches(); };
-    hooks.gathering = [this] { return this->relay->gathering(this->settings.news_time); };
-    hooks.longest_pause = [this](Duration usual) { return this->relay->longest_pause(usual); };
+    hooks.batching_delay = [this] { return this->relay->gathering(this->settings.news_time); };
+    hooks.maximum_retry_interval = [this](Duration usual) { return this->relay->longest_pause(usual); };
     hooks.upstreams_version = [this] { return this->state.upstreams.version(); };
     return hooks;
 }
