--- a/Libraries/LibRouter/RegistryRelay.cpp
+++ b/Libraries/LibRouter/RegistryRelay.cpp
@@ -15,7 +15,7 @@
 constexpr std::string_view NEWS_SERVICE_PREFIX = "registry-news@";
 constexpr Duration FETCH_TIMEOUT = milliseconds(1000);
 /// The same limit as for the registry's answers.
-constexpr std::size_t LONGEST_CONFIGURATION = 4UL * 1024 * 1024;
+constexpr std::size_t MAXIMUM_CONFIGURATION_BYTES = 4UL * 1024 * 1024;
 
 PeerNewsTracker::OwnSource source_of(bool follows)
 {
@@ -44,42 +44,42 @@
 
 void RegistryRelay::host()
 {
-    this->kernel.host(std::string(CONFIGURATION_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->answer(request, respond); });
+    this->kernel.host(std::string(CONFIGURATION_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->handle_request(request, respond); });
     this->kernel.host(this->news_service, [this](wire::Envelope const& message, Kernel::Responder const&) {
         if (message.has_registry_news())
-            this->take_news(message.registry_news());
+            this->handle_news(message.registry_news());
     });
 }
 
 void RegistryRelay::start()
 {
-    this->kernel.every(this->plan.tell_interval(), [this] { this->every_interval(); });
+    this->kernel.every(this->plan.tell_interval(), [this] { this->update_plan_and_publish(); });
 }
 
-void RegistryRelay::every_interval()
+void RegistryRelay::update_plan_and_publish()
 {
     this->plan.set_virtual_machines(this->kernel.directory().virtual_machines_with(this->news_service));
     this->plan.set_company(this->hooks.company());
-    this->tell();
+    this->publish();
 }
 
-void RegistryRelay::keep(ConfigurationDocument kept)
+void RegistryRelay::set_document(ConfigurationDocument new_document)
 {
-    this->document = std::move(kept);
+    this->document = std::move(new_document);
     this->compressed.clear();
 }
 
 bool RegistryRelay::watches() const { return this->plan.watches(monotonic_now()); }
-bool RegistryRelay::is_told() const { return this->plan.is_told(monotonic_now()); }
+bool RegistryRelay::has_recent_update() const { return this->plan.is_told(monotonic_now()); }
 
-void RegistryRelay::tell()
+void RegistryRelay::publish()
 {
     // A watcher that receives no updates from the registry publishes nothing, so that other VMs take over.
     if (this->plan.listeners().empty() || !this->watches() || !this->hooks.follows_upstreams() || !this->hooks.follows_configuration())
         return;
-    auto const since = this->told_version;
+    auto const since = this->published_version;
     auto const listing = this->upstreams.listing_since(since);
-    this->told_version = listing.version;
+    this->published_version = listing.version;
     wire::Envelope envelope;
     envelope.set_service(this->news_service);
     auto* news = envelope.mutable_registry_news();
@@ -102,12 +102,12 @@
     }
 }
 
-void RegistryRelay::take_news(wire::RegistryNews const& news)
+void RegistryRelay::handle_news(wire::RegistryNews const& news)
 {
     auto const now = monotonic_now();
     this->plan.note_told(news.vm(), now);
     this->upstreams.note_registry(UpstreamList::RegistryState::Well, now);
-    this->take_upstreams_news(news);
+    this->handle_upstreams_news(news);
     this->hooks.on_evacuations(read_evacuations(news.evacuations()));
     auto const endpoint = this->kernel.directory().resolve_on(news.vm(), CONFIGURATION_SERVICE);
     if (!endpoint)
@@ -119,18 +119,18 @@
         this->fetch_configuration(*endpoint);
 }
 
-void RegistryRelay::take_upstreams_news(wire::RegistryNews const& news)
+void RegistryRelay::handle_upstreams_news(wire::RegistryNews const& news)
 {
     auto const& content = news.upstreams();
     if (content.version() <= this->upstreams.version())
         return;
     if (content.since() <= this->upstreams.version())
-        return this->take_listing(read_listing(content), news.vm());
+        return this->adopt_listing(read_listing(content), news.vm());
     if (auto const endpoint = this->kernel.directory().resolve_on(news.vm(), CONFIGURATION_SERVICE))
-        this->hear_of_upstreams(*endpoint, content.version());
+        this->handle_upstreams_version(*endpoint, content.version());
 }
 
-void RegistryRelay::take_listing(UpstreamListing const& listing, std::string_view source)
+void RegistryRelay::adopt_listing(UpstreamListing const& listing, std::string_view source)
 {
     auto const before = this->upstreams.version();
     if (listing.version <= before)
@@ -147,13 +147,13 @@
     return source_of(this->hooks.follows_configuration());
 }
 
-void RegistryRelay::hear_of_configuration(std::string const& endpoint, std::int64_t version)
+void RegistryRelay::handle_configuration_version(std::string const& endpoint, std::int64_t version)
 {
     if (this->configuration_news.should_fetch(version, this->hooks.configuration_version(), this->configuration_source(), monotonic_now()))
         this->fetch_configuration(endpoint);
 }
 
-void RegistryRelay::hear_of_upstreams(std::string const& endpoint, std::int64_t version)
+void RegistryRelay::handle_upstreams_version(std::string const& endpoint, std::int64_t version)
 {
     if (this->upstreams_news.should_fetch(version, this->upstreams.version(), source_of(this->hooks.follows_upstreams()), monotonic_now()))
         this->fetch_upstreams(endpoint);
@@ -165,15 +165,15 @@
     envelope.mutable_get_configuration()->set_known_generation(this->hooks.configuration_version());
     this->kernel.request(endpoint, std::move(envelope), FETCH_TIMEOUT, [this, endpoint](WireReply const& reply) {
         if (!reply.is_error() && reply.value().has_configuration_content())
-            this->take_configuration(reply.value().configuration_content(), endpoint);
+            this->adopt_configuration(reply.value().configuration_content(), endpoint);
     });
 }
 
-void RegistryRelay::take_configuration(wire::ConfigurationContent const& content, std::string_view source)
+void RegistryRelay::adopt_configuration(wire::ConfigurationContent const& content, std::string_view source)
 {
     if (content.compressed_content().empty())
         return;
-    auto text = decompress_text(content.compressed_content(), static_cast<std::size_t>(std::max<std::int64_t>(0, content.content_bytes())), LONGEST_CONFIGURATION);
+    auto text = decompress_text(content.compressed_content(), static_cast<std::size_t>(std::max<std::int64_t>(0, content.content_bytes())), MAXIMUM_CONFIGURATION_BYTES);
     if (text.is_error()) {
         LogLine("configuration_unreadable").with("source", source).with("error", to_string(text.error()));
         return;
@@ -187,11 +187,11 @@
     envelope.mutable_get_upstreams()->set_known_version(this->upstreams.version());
     this->kernel.request(endpoint, std::move(envelope), FETCH_TIMEOUT, [this, endpoint](WireReply const& reply) {
         if (!reply.is_error() && reply.value().has_upstreams_content())
-            this->take_listing(read_listing(reply.value().upstreams_content()), endpoint);
+            this->adopt_listing(read_listing(reply.value().upstreams_content()), endpoint);
     });
 }
 
-void RegistryRelay::answer(wire::Envelope const& request, Kernel::Responder const& respond)
+void RegistryRelay::handle_request(wire::Envelope const& request, Kernel::Responder const& respond)
 {
     if (request.has_get_configuration())
         return respond(this->configuration_reply(request.get_configuration().known_generation()));
--- a/Libraries/LibRouter/RegistryRelay.h
+++ b/Libraries/LibRouter/RegistryRelay.h
@@ -45,11 +45,11 @@
     void host();
     void start();
     /// Sets the configuration that is served to peers.
-    void keep(ConfigurationDocument kept);
+    void set_document(ConfigurationDocument new_document);
 
     /// A peer announced its version of the configuration or of the list; a newer one may be fetched from it.
-    void hear_of_configuration(std::string const& endpoint, std::int64_t version);
-    void hear_of_upstreams(std::string const& endpoint, std::int64_t version);
+    void handle_configuration_version(std::string const& endpoint, std::int64_t version);
+    void handle_upstreams_version(std::string const& endpoint, std::int64_t version);
 
     /// The service by which the VMs of this data centre discover each other.
     std::string const& service() const { return this->news_service; }
@@ -59,23 +59,23 @@
     /// Whether this VM should watch the registry itself.
     bool watches() const;
     /// Whether a VM that follows the registry has recently published to this one.
-    bool is_told() const;
+    bool has_recent_update() const;
     /// How long this VM collects updates into a batch if they have to be in force within the given time.
-    Duration gathering(Duration news_time) const { return this->plan.gathering(news_time); }
+    Duration batching_delay(Duration news_time) const { return this->plan.gathering(news_time); }
     /// The longest pause between retries of this VM while the registry is unavailable.
-    Duration longest_pause(Duration usual) const { return this->plan.longest_pause(usual); }
+    Duration maximum_retry_interval(Duration usual) const { return this->plan.longest_pause(usual); }
     /// Publishes updates to the VMs that rely on this one for them.
-    void tell();
+    void publish();
 
 private:
-    void every_interval();
-    void answer(wire::Envelope const& request, Kernel::Responder const& respond);
-    void take_news(wire::RegistryNews const& news);
-    void take_upstreams_news(wire::RegistryNews const& news);
-    void take_configuration(wire::ConfigurationContent const& content, std::string_view source);
+    void update_plan_and_publish();
+    void handle_request(wire::Envelope const& request, Kernel::Responder const& respond);
+    void handle_news(wire::RegistryNews const& news);
+    void handle_upstreams_news(wire::RegistryNews const& news);
+    void adopt_configuration(wire::ConfigurationContent const& content, std::string_view source);
     PeerNewsTracker::OwnSource configuration_source() const;
     std::string const& compressed_document();
-    void take_listing(UpstreamListing const& listing, std::string_view source);
+    void adopt_listing(UpstreamListing const& listing, std::string_view source);
     void fetch_configuration(std::string const& endpoint);
     void fetch_upstreams(std::string const& endpoint);
     wire::Envelope configuration_reply(std::int64_t known);
@@ -92,7 +92,7 @@
     ConfigurationDocument document;
     /// The compressed document for peers; empty until the first request.
     std::string compressed;
-    std::int64_t told_version = 0;
+    std::int64_t published_version = 0;
 };
 
 }
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -111,8 +111,8 @@
         members.seeds.push_back("tcp://" + seed);
     members.heartbeat_interval = HEARTBEAT;
     this->membership = std::make_unique<MembershipService>(
-        members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->hear_of_configuration(endpoint, version); });
-    this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->hear_of_upstreams(endpoint, version); });
+        members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->handle_configuration_version(endpoint, version); });
+    this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->handle_upstreams_version(endpoint, version); });
     this->membership->set_evacuation_hooks([this]() -> EvacuationBook const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
@@ -285,7 +285,7 @@
         this->state.upstreams.replace(snapshot.listed, snapshot.position, monotonic_now());
         LogLine("upstreams_read").with("count", static_cast<std::int64_t>(snapshot.listed.size())).with("version", this->state.upstreams.version()).with("position", snapshot.position);
         this->engines_changed();
-        this->relay->tell();
+        this->relay->publish();
     };
     hooks.on_upstream_news = [this](UpstreamNews const& news) {
         for (auto const& change : news.changes) {
@@ -295,19 +295,19 @@
             this->state.upstreams.apply(change, monotonic_now());
         }
         this->engines_changed();
-        this->relay->tell();
+        this->relay->publish();
     };
     hooks.on_upstreams_state = [this](auto registry) {
         // One that the registry turns away and others tell of it knows as much as one that leaves watching to them.
-        if (registry == UpstreamList::RegistryState::Well || !this->relay->is_told())
+        if (registry == UpstreamList::RegistryState::Well || !this->relay->has_recent_update())
             this->state.upstreams.note_registry(registry, monotonic_now());
     };
     hooks.on_call = [this](auto what, auto result) {
         this->metrics.increment("spurtide_registry_calls_total", "Calls to the registry by what they were for and how they ended", { { "what", std::string(what) }, { "result", std::string(result) } });
     };
     hooks.watches = [this] { return this->relay->watches(); };
-    hooks.batching_delay = [this] { return this->relay->gathering(this->settings.news_time); };
-    hooks.maximum_retry_interval = [this](Duration usual) { return this->relay->longest_pause(usual); };
+    hooks.batching_delay = [this] { return this->relay->batching_delay(this->settings.news_time); };
+    hooks.maximum_retry_interval = [this](Duration usual) { return this->relay->maximum_retry_interval(usual); };
     hooks.upstreams_version = [this] { return this->state.upstreams.version(); };
     return hooks;
 }
@@ -344,11 +344,11 @@
     http.idle_timeout = limits.idle_timeout;
     this->callers->set_limits(http);
     this->state.routes = std::make_shared<RouteTable const>(decoded.release_value());
-    this->relay->keep(found);
+    this->relay->set_document(found);
     this->adopt_accounts();
     LogLine("configuration_in_force").with("version", this->state.routes->version()).with("before", known).with("source", source).with("routes", static_cast<std::int64_t>(this->state.routes->configuration().routes.size()));
     this->engines_changed();
-    this->relay->tell();
+    this->relay->publish();
     this->membership->spread_news();
 }
 
@@ -378,7 +378,7 @@
         LogLine(event).with("evacuated", change.data_centre).with("version", change.version).with("source", source).with("upstreams", static_cast<std::int64_t>(this->count_upstreams(change.data_centre)));
     }
     this->engines_changed();
-    this->relay->tell();
+    this->relay->publish();
     this->membership->spread_news();
 }
 
--- a/Tests/LibRouter/TestRegistryRelay.cpp
+++ b/Tests/LibRouter/TestRegistryRelay.cpp
@@ -101,7 +101,7 @@
         CHECK(listener->upstreams.takes_work("a"));
     test.watcher[0]->change("b", 5);
     test.watcher[0]->upstreams.apply({ "a", {}, 6 }, monotonic_now());
-    test.watcher[0]->relay->tell();
+    test.watcher[0]->relay->publish();
     REQUIRE(test.run_until([&] { return test.listeners[0]->upstreams.version() == 6 && test.listeners[1]->upstreams.version() == 6; }));
     for (auto const* listener : test.listeners) {
         CHECK(listener->upstreams.takes_work("b"));
@@ -126,10 +126,10 @@
     auto& lacks = *test.listeners[0];
     knows.change("a", 3);
     knows.configuration = 7;
-    knows.relay->keep({ "the configuration" });
+    knows.relay->set_document({ "the configuration" });
     lacks.follows = false;
-    lacks.relay->hear_of_upstreams(knows.kernel->endpoint(), 3);
-    lacks.relay->hear_of_configuration(knows.kernel->endpoint(), 7);
+    lacks.relay->handle_upstreams_version(knows.kernel->endpoint(), 3);
+    lacks.relay->handle_configuration_version(knows.kernel->endpoint(), 7);
     REQUIRE(test.run_until([&] { return lacks.upstreams.takes_work("a") && !lacks.configurations.empty(); }));
     CHECK(lacks.configurations == std::vector<std::string> { "the configuration" });
 }
@@ -140,11 +140,11 @@
     auto& knows = *test.watcher[0];
     auto& lacks = *test.listeners[0];
     knows.change("a", 3);
-    lacks.relay->hear_of_upstreams(knows.kernel->endpoint(), 3);
+    lacks.relay->handle_upstreams_version(knows.kernel->endpoint(), 3);
     CHECK_FALSE(lacks.kernel->sent_traffic().contains("get_upstreams"));
     // The following heartbeats announce the version again.
     REQUIRE(test.run_until([&] {
-        lacks.relay->hear_of_upstreams(knows.kernel->endpoint(), 3);
+        lacks.relay->handle_upstreams_version(knows.kernel->endpoint(), 3);
         return lacks.upstreams.takes_work("a");
     }));
     CHECK(lacks.kernel->sent_traffic().contains("get_upstreams"));
@@ -155,7 +155,7 @@
     RelayTest test;
     auto& knows = *test.watcher[0];
     knows.configuration = 7;
-    knows.relay->keep({ "the configuration" });
+    knows.relay->set_document({ "the configuration" });
     for (auto* listener : test.listeners) {
         listener->configuration = 5;
         listener->takes_configuration = 7;
@@ -169,10 +169,10 @@
     }
     // The next version is fetched at its first announcement.
     knows.configuration = 9;
-    knows.relay->keep({ "the next one" });
+    knows.relay->set_document({ "the next one" });
     for (auto* listener : test.listeners)
         listener->takes_configuration = 9;
-    knows.relay->tell();
+    knows.relay->publish();
     REQUIRE(test.run_until([&] { return test.listeners[0]->configuration == 9 && test.listeners[1]->configuration == 9; }));
     for (auto const* listener : test.listeners)
         CHECK(listener->kernel->sent_traffic().at("get_configuration").messages == 2);
@@ -183,7 +183,7 @@
     RelayTest test;
     test.watcher[0]->follows_configuration = false;
     test.watcher[0]->change("a", 3);
-    test.watcher[0]->relay->tell();
+    test.watcher[0]->relay->publish();
     test.start();
     test.watcher[0]->follows_configuration = true;
     REQUIRE(test.run_until([&] { return !test.listeners[0]->relay->watches(); }));
