--- a/Libraries/LibRouter/ReachabilityProber.cpp
+++ b/Libraries/LibRouter/ReachabilityProber.cpp
@@ -21,16 +21,16 @@
     auto const now = monotonic_now();
     std::erase_if(this->gone_processes, [this](auto const& process) { return !this->upstreams.find(process.first); });
     for (auto const& identity : this->reachability->due_probes(now))
-        this->begin_probe(identity, now);
+        this->start_probe(identity, now);
     if (!this->reachability->is_any_cut_off(now))
         return;
     std::vector<UpstreamPlace> places;
     this->upstreams.for_each([&](auto const& record) { places.push_back({ record.identity, record.data_centre }); });
     for (auto const& identity : this->reachability->due_scouts(places, now))
-        this->begin_probe(identity, now);
+        this->start_probe(identity, now);
 }
 
-void ReachabilityProber::begin_probe(std::string const& identity, MonotonicTime now)
+void ReachabilityProber::start_probe(std::string const& identity, MonotonicTime now)
 {
     auto const* record = this->upstreams.find(identity);
     auto const address = record ? parse_address(record->address) : std::nullopt;
@@ -55,24 +55,24 @@
     this->pool.put_back_unused(address, connected.value());
 }
 
-ReachabilityProber::Process ReachabilityProber::known_process(UpstreamRecord const& upstream) const
+ReachabilityProber::ProcessState ReachabilityProber::known_process_state(UpstreamRecord const& upstream) const
 {
     auto const found = this->gone_processes.find(upstream.identity);
-    return found != this->gone_processes.end() && found->second == upstream.started ? Process::Gone : Process::NotKnown;
+    return found != this->gone_processes.end() && found->second == upstream.started ? ProcessState::Gone : ProcessState::Unknown;
 }
 
-asio::awaitable<ReachabilityProber::Process> ReachabilityProber::probe_process(UpstreamRecord upstream)
+asio::awaitable<ReachabilityProber::ProcessState> ReachabilityProber::probe_process(UpstreamRecord upstream)
 {
     auto const address = parse_address(upstream.address);
-    if (!address || this->known_process(upstream) == Process::Gone)
-        co_return this->known_process(upstream);
+    if (!address || this->known_process_state(upstream) == ProcessState::Gone)
+        co_return this->known_process_state(upstream);
     auto connected = co_await HttpConnection::connect(*address, this->options.connect_timeout, this->pool.patience());
     if (connected.is_error()) {
         this->note_unreachable(upstream, connected.error());
-        co_return this->known_process(upstream);
+        co_return this->known_process_state(upstream);
     }
     this->pool.put_back_unused(*address, connected.value());
-    co_return Process::NotKnown;
+    co_return ProcessState::Unknown;
 }
 
 void ReachabilityProber::note_unreachable(UpstreamRecord const& upstream, HttpError error)
@@ -80,9 +80,9 @@
     auto const now = monotonic_now();
     if (error == HttpError::NobodyListens)
         this->gone_processes.insert_or_assign(upstream.identity, upstream.started);
-    bool const is_news = this->reachability->is_reachable(upstream.identity, upstream.data_centre, now);
+    bool const was_reachable = this->reachability->is_reachable(upstream.identity, upstream.data_centre, now);
     this->reachability->note_unreachable(upstream.identity, upstream.data_centre, now);
-    if (is_news)
+    if (was_reachable)
         LogLine("upstream_unreachable").with("upstream", upstream.identity).with("upstream_data_centre", upstream.data_centre).with("reason", to_string(error)).with("cut_off", this->reachability->is_cut_off(upstream.data_centre, now) ? "yes" : "no");
     if (auto const address = parse_address(upstream.address))
         this->pool.drop(*address);
--- a/Libraries/LibRouter/ReachabilityProber.h
+++ b/Libraries/LibRouter/ReachabilityProber.h
@@ -30,21 +30,21 @@
     std::shared_ptr<Watched> const& watched() const { return this->watched_connections; }
     std::shared_ptr<ReachabilityTracker> const& tracker() const { return this->reachability; }
 
-    enum class Process {
+    enum class ProcessState {
         /// A process listens at the address, or the connection failure does not tell.
-        NotKnown,
+        Unknown,
         Gone,
     };
     /// Determines whether this incarnation of the upstream is gone; connects to it if that is not known yet.
-    asio::awaitable<Process> probe_process(UpstreamRecord upstream);
+    asio::awaitable<ProcessState> probe_process(UpstreamRecord upstream);
     /// Like probe_process(), but never connects.
-    Process known_process(UpstreamRecord const& upstream) const;
+    ProcessState known_process_state(UpstreamRecord const& upstream) const;
 
     /// Handles a failed connection attempt to the upstream.
     void note_unreachable(UpstreamRecord const& upstream, HttpError error);
 
 private:
-    void begin_probe(std::string const& identity, MonotonicTime now);
+    void start_probe(std::string const& identity, MonotonicTime now);
     asio::awaitable<void> probe(UpstreamRecord upstream, Address address);
 
     Options options;
--- a/Libraries/LibRouter/RequestFlow.cpp
+++ b/Libraries/LibRouter/RequestFlow.cpp
@@ -217,11 +217,11 @@
     // What was broken off for the caller or the clock tells nothing, and one that leaves stops as planned.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity))
         co_return false;
-    auto process = this->state.prober.known_process(upstream);
-    if (process != ReachabilityProber::Process::Gone && error == HttpError::Closed)
+    auto process = this->state.prober.known_process_state(upstream);
+    if (process != ReachabilityProber::ProcessState::Gone && error == HttpError::Closed)
         process = co_await this->state.prober.probe_process(upstream);
     // Of a data centre that is cut off all connections may be refused.
-    if (process != ReachabilityProber::Process::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
+    if (process != ReachabilityProber::ProcessState::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
         co_return false;
     LogLine("upstream_crashed")
         .with("request", this->request.identifier)
