--- a/Libraries/LibRouter/CrashAnalyzer.h
+++ b/Libraries/LibRouter/CrashAnalyzer.h
@@ -4,69 +4,70 @@
 #pragma once
 
 #include <LibDecision/PoisonRequestDetector.h>
-#include <LibRouter/QuarantineKeeper.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <asio.hpp>
 #include <functional>
 #include <vector>
 
 namespace Spurtide {
 
-/// An upstream crashed while it had a request.
+/// A request that was in flight at an upstream when the upstream crashed.
 struct CrashReport {
     RequestFingerprint request;
     UpstreamIncarnation upstream;
-    /// Since the request was sent there.
+    /// Time from sending the request to the crash.
     Duration ran_for {};
-    enum class Before {
-        NotKnown,
-        /// The reporting VM saw the same request completed lately.
+    enum class PriorResult {
+        Unknown,
+        /// The reporting VM recently saw an identical request complete.
         Completed,
-    } before
-        = Before::NotKnown;
+    } prior_result
+        = PriorResult::Unknown;
 };
 
 enum class CrashVerdict {
-    MayGoOn,
+    MayRetry,
     Quarantined,
 };
 
-/// Decides for a service's requests which of them crash its upstreams, out of what all VMs report. Two VMs do that for each
-/// service, found by ranking, so that what was reported outlasts one of them.
+/// Determines which requests crash the upstreams of a service, from the crash reports of all VMs. The ranking assigns two VMs
+/// to each service, so that the reports survive the loss of one of them.
 class CrashAnalyzer {
 public:
     struct Options {
         PoisonRequestDetector::Options ledger {};
-        /// Whoever reports goes on with the request elsewhere, and callers notice pauses; by then it is told that it may.
-        Duration longest_verdict = milliseconds(80);
-        Duration tick = milliseconds(10);
+        /// The reporter holds its request back until it has the verdict, and the caller notices the delay. After this time the
+        /// request may be retried elsewhere.
+        Duration verdict_timeout = milliseconds(80);
+        Duration check_interval = milliseconds(10);
     };
-    using Answer = std::function<void(CrashVerdict)>;
+    using VerdictCallback = std::function<void(CrashVerdict)>;
 
-    CrashAnalyzer(Options options, QuarantineKeeper& quarantine, asio::io_context& loop);
+    CrashAnalyzer(Options options, ReplicatedQuarantine& quarantine, asio::io_context& loop);
 
-    /// The answer comes at once where the request cannot be a cause, else when all VMs have told who was there.
-    void take(CrashReport const& report, Answer answer);
+    /// Answers at once if the request cannot be the cause, otherwise when all VMs have reported their requests at the upstream.
+    void handle_report(CrashReport const& report, VerdictCallback callback);
     void note_completed(RequestFingerprint const& request);
 
 private:
-    struct Waiting {
+    struct PendingReport {
         RequestFingerprint request;
-        Answer answer;
-        MonotonicTime until;
+        VerdictCallback callback;
+        MonotonicTime deadline;
     };
 
-    void decide();
+    void decide_pending();
     void quarantine_causes(MonotonicTime now);
     bool is_quarantined(RequestFingerprint const& request) const { return this->quarantine.held_for(request).has_value(); }
-    bool is_open(Waiting const& waiting, MonotonicTime now) const;
-    void decide_later();
+    bool is_undecided(PendingReport const& pending, MonotonicTime now) const;
+    void schedule_decision();
 
     Options options;
-    QuarantineKeeper& quarantine;
+    ReplicatedQuarantine& quarantine;
     asio::steady_timer timer;
     bool is_timer_set = false;
     PoisonRequestDetector ledger;
-    std::vector<Waiting> waiting;
+    std::vector<PendingReport> pending_reports;
 };
 
 }
--- a/Libraries/LibRouter/CrashReporter.cpp
+++ b/Libraries/LibRouter/CrashReporter.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// So that what was reported outlasts one of them.
-constexpr std::size_t ANALYZERS = 2;
+/// Two, so that the reports survive the loss of one analyzer.
+constexpr std::size_t ANALYZER_COUNT = 2;
 
 wire::Envelope report_message(CrashReport const& report)
 {
@@ -22,7 +22,7 @@
     message->set_upstream(report.upstream.identity);
     message->set_started(report.upstream.started);
     message->set_ran_microseconds(report.ran_for.count());
-    message->set_was_completed_before(report.before == CrashReport::Before::Completed);
+    message->set_was_completed_before(report.prior_result == CrashReport::PriorResult::Completed);
     return envelope;
 }
 
@@ -32,53 +32,53 @@
     report.request = request;
     report.upstream = { message.upstream(), message.started() };
     report.ran_for = Duration(message.ran_microseconds());
-    report.before = message.was_completed_before() ? CrashReport::Before::Completed : CrashReport::Before::NotKnown;
+    report.prior_result = message.was_completed_before() ? CrashReport::PriorResult::Completed : CrashReport::PriorResult::Unknown;
     return report;
 }
 
 }
 
-/// The analyzers' answers on their way to the coroutine that waits for them.
-struct CrashReporter::Pending {
-    Pending(asio::any_io_executor const& executor, std::size_t analyzers)
+/// Collects the analyzers' answers for the coroutine that waits for the verdict.
+struct CrashReporter::PendingVerdict {
+    PendingVerdict(asio::any_io_executor const& executor, std::size_t analyzers)
         : signal(executor)
         , answers(analyzers)
     {
     }
 
     struct AnalyzerAnswer {
-        bool is_over = false;
-        /// Empty where the analyzer did not answer.
+        bool is_complete = false;
+        /// Empty if the analyzer did not answer.
         std::optional<CrashVerdict> verdict;
     };
 
-    void take(std::size_t analyzer, std::optional<CrashVerdict> verdict)
+    void set_answer(std::size_t analyzer, std::optional<CrashVerdict> verdict)
     {
         this->answers.at(analyzer) = { true, verdict };
         this->signal.notify();
     }
 
-    /// The first analyzer's word, or that of the next where it is silent; but whoever found a cause is right, since one that
-    /// has just become an analyzer has heard less.
+    /// The verdict of the first analyzer that answers, in ranking order. Any analyzer that found a cause overrides the others,
+    /// since one that has just become an analyzer has fewer reports.
     std::optional<CrashVerdict> verdict() const
     {
         if (std::any_of(this->answers.begin(), this->answers.end(), [](auto const& answer) { return answer.verdict == CrashVerdict::Quarantined; }))
             return CrashVerdict::Quarantined;
         for (auto const& answer : this->answers) {
-            if (!answer.is_over)
+            if (!answer.is_complete)
                 return {};
             if (answer.verdict)
                 return answer.verdict;
         }
-        // Nobody answers. What the request may cost is one more upstream.
-        return CrashVerdict::MayGoOn;
+        // No analyzer answered. A retry crashes at most one more upstream.
+        return CrashVerdict::MayRetry;
     }
 
     Signal signal;
     std::vector<AnalyzerAnswer> answers;
 };
 
-CrashReporter::CrashReporter(Options options, Kernel& kernel, KeeperRanking& ranking, QuarantineKeeper& quarantine, CrashAnalyzer& own_analyzer)
+CrashReporter::CrashReporter(Options options, Kernel& kernel, VirtualMachineRanking& ranking, ReplicatedQuarantine& quarantine, CrashAnalyzer& own_analyzer)
     : options(options)
     , kernel(kernel)
     , ranking(ranking)
@@ -91,14 +91,14 @@
 
 void CrashReporter::host()
 {
-    this->kernel.host(std::string(QUARANTINE_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->answer(request, respond); });
+    this->kernel.host(std::string(QUARANTINE_SERVICE), [this](wire::Envelope const& request, Kernel::Responder const& respond) { this->handle_request(request, respond); });
 }
 
 std::vector<std::string> CrashReporter::analyzers(std::string_view service) const
 {
-    auto names = this->ranking.names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
-    names.resize(std::min(names.size(), ANALYZERS));
-    // Alone, or before it has met others, a VM analyzes for itself.
+    auto names = this->ranking.ranked_names(std::string(QUARANTINE_SERVICE) + "/" + std::string(service));
+    names.resize(std::min(names.size(), ANALYZER_COUNT));
+    // A VM that knows of no others analyzes its own reports.
     if (names.empty())
         names.push_back(this->kernel.virtual_machine());
     return names;
@@ -111,28 +111,28 @@
     report.upstream = upstream;
     report.ran_for = ran_for;
     auto const now = monotonic_now();
-    report.before = this->completed.contains(request, now) ? CrashReport::Before::Completed : CrashReport::Before::NotKnown;
+    report.prior_result = this->completed.contains(request, now) ? CrashReport::PriorResult::Completed : CrashReport::PriorResult::Unknown;
     this->reported.note(request, now);
     auto const executor = co_await asio::this_coro::executor;
     auto const names = this->analyzers(service);
-    auto const pending = std::make_shared<Pending>(executor, names.size());
+    auto const pending = std::make_shared<PendingVerdict>(executor, names.size());
     for (std::size_t i = 0; i < names.size(); ++i)
-        this->ask(names[i], report, [pending, i](auto verdict) { pending->take(i, verdict); });
+        this->request_verdict(names[i], report, [pending, i](auto verdict) { pending->set_answer(i, verdict); });
     while (!pending->verdict())
         co_await pending->signal.wait();
     co_return *pending->verdict();
 }
 
-void CrashReporter::ask(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer)
+void CrashReporter::request_verdict(std::string const& analyzer, CrashReport const& report, std::function<void(std::optional<CrashVerdict>)> answer)
 {
     if (analyzer == this->kernel.virtual_machine())
-        return this->own_analyzer.take(report, std::move(answer));
-    this->kernel.request(this->ranking.endpoint_of(analyzer), report_message(report), this->options.answer_time, [this, analyzer, answer](WireReply const& reply) {
+        return this->own_analyzer.handle_report(report, std::move(answer));
+    this->kernel.request(this->ranking.endpoint_of(analyzer), report_message(report), this->options.answer_timeout, [this, analyzer, answer](WireReply const& reply) {
         if (!reply.is_error() && reply.value().has_crash_report_answer())
-            return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayGoOn);
+            return answer(reply.value().crash_report_answer().is_quarantined() ? CrashVerdict::Quarantined : CrashVerdict::MayRetry);
         if (reply.is_error() && reply.error().kind != WireErrorKind::Remote)
-            this->ranking.note_silent(analyzer);
-        LogLine("crash_analyzer_silent").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
+            this->ranking.note_unresponsive(analyzer);
+        LogLine("crash_analyzer_unresponsive").with("vm", analyzer).with("error", reply.is_error() ? to_string(reply.error().kind) : "unknown_answer");
         answer(std::nullopt);
     });
 }
@@ -153,7 +153,7 @@
     }
 }
 
-void CrashReporter::answer(wire::Envelope const& request, Kernel::Responder const& respond)
+void CrashReporter::handle_request(wire::Envelope const& request, Kernel::Responder const& respond)
 {
     if (this->quarantine.handle(request, respond))
         return;
@@ -167,7 +167,7 @@
         respond(error_reply(wire::ERROR_CODE_UNKNOWN_MESSAGE));
         return;
     }
-    this->own_analyzer.take(read_report(request.crash_report(), *fingerprint), [respond](CrashVerdict verdict) {
+    this->own_analyzer.handle_report(read_report(request.crash_report(), *fingerprint), [respond](CrashVerdict verdict) {
         wire::Envelope reply;
         reply.mutable_crash_report_answer()->set_is_quarantined(verdict == CrashVerdict::Quarantined);
         respond(std::move(reply));
--- a/Libraries/LibRouter/PlacementClient.cpp
+++ b/Libraries/LibRouter/PlacementClient.cpp
@@ -47,7 +47,7 @@
     this->kernel.every(this->options.keeper_check_interval, [this] { this->check_for_keeper_change(); });
 }
 
-std::string PlacementClient::current_keeper() const { return this->keepers.present_endpoint(CELL); }
+std::string PlacementClient::current_keeper() const { return this->keepers.first_endpoint(CELL); }
 
 wire::Envelope PlacementClient::ask_message(PlacementAsk const& ask, AskTimes const& times, Duration elapsed) const
 {
@@ -79,7 +79,7 @@
 {
     auto const started = monotonic_now();
     this->check_for_keeper_change();
-    auto names = this->keepers.names(CELL);
+    auto names = this->keepers.ranked_names(CELL);
     names.resize(std::min(names.size(), MAXIMUM_REMOTE_KEEPERS));
     std::erase(names, this->kernel.virtual_machine());
     bool const is_own_first = this->current_keeper() == this->kernel.endpoint();
@@ -104,7 +104,7 @@
         if (pending->is_given_up)
             co_return std::nullopt;
         if (pending->reply->is_error()) {
-            this->keepers.note_silent(name);
+            this->keepers.note_unresponsive(name);
             LogLine("keeper_silent").with("keeper", name).with("request", ask.request).with("error", to_string(pending->reply->error().kind));
             continue;
         }
--- a/Libraries/LibRouter/RequestHandler.cpp
+++ b/Libraries/LibRouter/RequestHandler.cpp
@@ -4,8 +4,8 @@
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
 #include <LibRouter/CrashReporter.h>
-#include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <LibRouter/RequestHandler.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <algorithm>
@@ -91,7 +91,7 @@
             co_await this->forward_request();
         // Requests that have not run are not charged to the account.
         if (this->quota_cost > 0 && this->earlier == SendHistory::Earlier::HasNotRun)
-            this->state.quota->give_back(this->counted_account, this->quota_cost);
+            this->state.quota->refund(this->counted_account, this->quota_cost);
     }
     this->ledger.refund_unused();
     this->deadline_timer.cancel();
@@ -107,8 +107,8 @@
     }
     if (this->quota_cost <= 0)
         co_return true;
-    auto const decision = co_await this->state.quota->take(this->account, this->quota_cost, this->caller_time_left());
-    if (decision.outcome == QuotaClient::Outcome::Counted)
+    auto const decision = co_await this->state.quota->acquire(this->account, this->quota_cost, this->caller_time_left());
+    if (decision.outcome == QuotaClient::Outcome::Admitted)
         co_return true;
     if (this->stop_reason == StopReason::CallerLeft)
         this->log_end("caller_left", "over_limit", 0);
@@ -189,8 +189,8 @@
     auto const rate = this->state.limiter->rate_of(upstream);
     if (!rate)
         co_return true;
-    UpstreamLimiter::Ask ask { upstream, longest_wait, turn_patience };
-    auto const turn = co_await this->state.limiter->take(std::move(ask));
+    UpstreamLimiter::TurnRequest ask { upstream, longest_wait, turn_patience };
+    auto const turn = co_await this->state.limiter->request_turn(std::move(ask));
     bool const is_granted = turn.outcome == UpstreamLimiter::Turn::Outcome::Granted;
     std::string const outcome = is_granted ? "granted" : "denied";
     LogLine("upstream_turn").with("request", this->request.identifier).with("upstream", upstream).with("rate", *rate).with("outcome", outcome).with("wait_ms", to_milliseconds(turn.wait));
@@ -207,7 +207,7 @@
     }
     if (!this->is_stopped())
         co_return true;
-    this->state.limiter->give_back(upstream);
+    this->state.limiter->return_turn(upstream);
     co_return false;
 }
 
@@ -217,11 +217,11 @@
     // A connection that we aborted ourselves does not indicate a crash, and an upstream that is leaving stops as planned.
     if (this->is_stopped() || !this->state.upstreams.takes_work(upstream.identity))
         co_return false;
-    auto process = this->state.prober.known_process(upstream);
-    if (process != ReachabilityProber::Process::Gone && error == HttpError::Closed)
+    auto process = this->state.prober.known_process_state(upstream);
+    if (process != ReachabilityProber::ProcessState::Gone && error == HttpError::Closed)
         process = co_await this->state.prober.probe_process(upstream);
     // All connections to a data centre that is cut off may be refused.
-    if (process != ReachabilityProber::Process::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
+    if (process != ReachabilityProber::ProcessState::Gone || this->state.reachability->is_cut_off(upstream.data_centre, monotonic_now()))
         co_return false;
     LogLine("upstream_crashed")
         .with("request", this->request.identifier)
--- a/Libraries/LibRouter/RoleKeeper.cpp
+++ b/Libraries/LibRouter/RoleController.cpp
@@ -3,22 +3,22 @@
 
 #include <LibCore/Clock.h>
 #include <LibCore/LogLine.h>
-#include <LibRouter/RoleKeeper.h>
+#include <LibRouter/RoleController.h>
 #include <array>
 
 namespace Spurtide {
 
 namespace {
 
-constexpr std::string_view LEASE = "roles";
-/// An engine that took an order and does not show its new role by then is used as what it says it is.
-constexpr Duration LONGEST_CHANGE = seconds(20);
+constexpr std::string_view LEASE_NAME = "roles";
+/// An engine that accepted an order but does not report its new role within this time is used in the role that it reports.
+constexpr Duration ROLE_CHANGE_TIMEOUT = seconds(20);
 
 std::string_view role_name(EngineRole role) { return role == EngineRole::Prefill ? "prefill" : "decode"; }
 
 }
 
-RoleKeeper::RoleKeeper(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks)
+RoleController::RoleController(Options options, RouterState& state, LeasePort& port, std::string holder, Hooks hooks)
     : options(options)
     , state(state)
     , port(port)
@@ -27,58 +27,58 @@
 {
 }
 
-void RoleKeeper::start()
+void RoleController::start()
 {
     asio::co_spawn(this->state.loop, this->run(), asio::detached);
 }
 
-RoleBalancer& RoleKeeper::balancer_of(std::string const& model)
+RoleBalancer& RoleController::balancer_of(std::string const& model)
 {
     return this->balancers.try_emplace(model, this->options.balancer).first->second;
 }
 
-void RoleKeeper::note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens)
+void RoleController::note_request(std::string const& model, std::int64_t prompt_tokens, std::int64_t output_tokens)
 {
     this->balancer_of(model).note_request(prompt_tokens, output_tokens, monotonic_now());
 }
 
-asio::awaitable<void> RoleKeeper::pause(Duration duration)
+asio::awaitable<void> RoleController::pause(Duration duration)
 {
     asio::steady_timer timer(this->state.loop, duration);
     asio::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-asio::awaitable<void> RoleKeeper::run()
+asio::awaitable<void> RoleController::run()
 {
     while (true) {
-        co_await this->pause(this->options.look);
+        co_await this->pause(this->options.evaluation_interval);
         auto const now = monotonic_now();
-        this->forget_changed(now);
+        this->remove_finished_changes(now);
         if (!this->hooks.is_keeper()) {
             this->keeper_since.reset();
             continue;
         }
         if (!this->keeper_since)
             this->keeper_since = now;
-        if (now - *this->keeper_since < this->options.keeper_for)
+        if (now - *this->keeper_since < this->options.minimum_keeper_time)
             continue;
         auto due = this->find_due(now);
         if (!due)
             continue;
-        bool const is_held = co_await this->hold_lease();
+        bool const is_held = co_await this->acquire_lease();
         if (is_held)
             co_await this->order(std::move(*due));
     }
 }
 
-std::optional<RoleKeeper::Due> RoleKeeper::find_due(MonotonicTime now)
+std::optional<RoleController::DueChange> RoleController::find_due(MonotonicTime now)
 {
     for (auto const& [model, engines] : this->hooks.engine_states()) {
         std::vector<RoleCandidate> candidates;
         EngineCapacity capacity { 0, 0, 0, Duration::zero(), EngineCapacity::Source::Assumed };
         for (auto const& engine : engines) {
-            // Those that change are told to be leaving by this process itself.
+            // Engines that change their role are reported as leaving by this process itself.
             if (engine.is_leaving && !this->is_changing(engine.name))
                 continue;
             candidates.push_back({ engine.name, engine.role, engine.work, engine.data_centre, engine.is_failing });
@@ -93,29 +93,29 @@
         if (change) {
             std::array<char, 96> text {};
             std::snprintf(text.data(), text.size(), "engines:%zu,pace:%s,prefill_rate:%.0f,step_us:%lld", candidates.size(), capacity.source == EngineCapacity::Source::Measured ? "measured" : "assumed", capacity.prefill_rate, static_cast<long long>(capacity.step_time.count()));
-            return Due { model, *change, text.data() };
+            return DueChange { model, *change, text.data() };
         }
     }
     return {};
 }
 
-asio::awaitable<bool> RoleKeeper::hold_lease()
+asio::awaitable<bool> RoleController::acquire_lease()
 {
     auto const step = this->lease.next_step(monotonic_now(), this->options.order_timeout);
     if (step == LeaseTerm::Step::Use)
         co_return true;
     if (step == LeaseTerm::Step::Wait) {
-        // The row may have been given up or renewed meanwhile.
-        co_await this->pause(this->options.pause_after_failure);
+        // The row may be released or renewed during the pause.
+        co_await this->pause(this->options.failure_delay);
         this->lease.note_write_failed();
         co_return false;
     }
-    std::string const name(LEASE);
+    std::string const name(LEASE_NAME);
     if (step == LeaseTerm::Step::Read) {
         auto const row = co_await this->port.read_lease(name);
         if (row.is_error()) {
-            LogLine("lease_unread").with("error", to_string(row.error()));
-            co_await this->pause(this->options.pause_after_failure);
+            LogLine("lease_read_failed").with("error", to_string(row.error()));
+            co_await this->pause(this->options.failure_delay);
             co_return false;
         }
         this->lease.note_read(row.value(), monotonic_now());
@@ -124,17 +124,17 @@
     this->lease.note_write_sent(monotonic_now());
     auto const written = co_await this->port.write_lease(name, this->lease.holder(), this->lease.expected_version());
     if (written.is_error()) {
-        LogLine("lease_not_written").with("error", to_string(written.error())).with("expected_version", this->lease.expected_version());
+        LogLine("lease_write_failed").with("error", to_string(written.error())).with("expected_version", this->lease.expected_version());
         this->lease.note_write_failed();
-        co_await this->pause(this->options.pause_after_failure);
+        co_await this->pause(this->options.failure_delay);
         co_return false;
     }
     this->lease.note_written(written.value(), monotonic_now());
-    LogLine("lease_held").with("holder", this->lease.holder()).with("fence", this->lease.fence());
+    LogLine("lease_acquired").with("holder", this->lease.holder()).with("fence", this->lease.fence());
     co_return this->lease.is_held(monotonic_now() + this->options.order_timeout);
 }
 
-asio::awaitable<void> RoleKeeper::order(Due due)
+asio::awaitable<void> RoleController::order(DueChange due)
 {
     auto& balancer = this->balancer_of(due.model);
     auto const* record = this->state.upstreams.find(due.change.engine);
@@ -143,15 +143,15 @@
         balancer.note_refused(due.change.engine, monotonic_now());
         co_return;
     }
-    auto const status = co_await this->ask_status(*address);
+    auto const status = co_await this->fetch_status(*address);
     bool const may_order = status && !status->is_under_order && status->role != due.change.role;
     if (!may_order) {
-        LogLine("role_not_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("reason", !status ? "no_status" : status->is_under_order ? "under_order"
-                                                                                                                                                                             : "has_it");
+        LogLine("role_order_skipped").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("reason", !status ? "no_status" : status->is_under_order ? "under_order"
+                                                                                                                                                                               : "has_it");
         balancer.note_refused(due.change.engine, monotonic_now());
         co_return;
     }
-    // The lease may have come near its end while the engine was asked.
+    // The lease may be about to expire after the status request.
     if (!this->lease.is_held(monotonic_now() + this->options.order_timeout) || !this->hooks.is_keeper())
         co_return;
     RoleOrder order;
@@ -162,17 +162,17 @@
     order.expected_identity = due.change.engine;
     balancer.note_ordered(due.change, monotonic_now());
     auto const answer = co_await this->send_order(*address, order);
-    LogLine("role_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("fence", order.fence).with("orders_taken", status->orders_taken).with("status", answer).with("because", due.because);
+    LogLine("role_ordered").with("engine", due.change.engine).with("role", role_name(due.change.role)).with("fence", order.fence).with("orders_taken", status->orders_taken).with("status", answer).with("because", due.inputs);
     auto const now = monotonic_now();
-    constexpr int TAKEN = 202;
-    if (answer == TAKEN) {
-        this->accepted.insert_or_assign(due.change.engine, Accepted { due.change.role, now });
+    constexpr int HTTP_ACCEPTED = 202;
+    if (answer == HTTP_ACCEPTED) {
+        this->accepted_orders.insert_or_assign(due.change.engine, AcceptedOrder { due.change.role, now });
         this->hooks.on_change();
     }
-    // NOTE: An order without an answer may be carried out yet, so the balancer goes on to count it.
+    // NOTE: An order without an answer may still be executed, so the balancer keeps counting it.
 }
 
-asio::awaitable<std::optional<EngineStatus>> RoleKeeper::ask_status(Address address)
+asio::awaitable<std::optional<EngineStatus>> RoleController::fetch_status(Address address)
 {
     HttpRequest request { this->state.dialect.engine_status_request_head(address.to_string()), {} };
     ConnectionPool::Call options;
@@ -186,11 +186,11 @@
     co_return status.value();
 }
 
-// The answer's status; 0 where none came.
-asio::awaitable<int> RoleKeeper::send_order(Address address, RoleOrder order)
+// Returns the status of the answer; 0 if there was none.
+asio::awaitable<int> RoleController::send_order(Address address, RoleOrder order)
 {
     ConnectionPool::Call options;
-    // An order that waits in a connection that rested for long might arrive when the lease is over.
+    // On a connection that was idle for long, the order could be delayed until after the lease has expired.
     options.freshness = ConnectionPool::Freshness::Recent;
     options.timeout = this->options.order_timeout;
     options.may_send = [this] { return this->lease.is_held(monotonic_now()); };
@@ -199,17 +199,17 @@
     co_return answer.is_error() ? 0 : answer.value().head.status;
 }
 
-void RoleKeeper::forget_changed(MonotonicTime now)
+void RoleController::remove_finished_changes(MonotonicTime now)
 {
-    auto const forgotten = std::erase_if(this->accepted, [&](auto const& entry) {
+    auto const removed = std::erase_if(this->accepted_orders, [&](auto const& entry) {
         auto const* record = this->state.upstreams.find(entry.first);
-        bool const is_over = !record || record->role == entry.second.role || now - entry.second.since >= LONGEST_CHANGE;
+        bool const is_over = !record || record->role == entry.second.role || now - entry.second.since >= ROLE_CHANGE_TIMEOUT;
         if (is_over)
             LogLine("role_changed").with("engine", entry.first).with("role", role_name(entry.second.role)).with("outcome", !record ? "gone" : record->role == entry.second.role ? "done"
                                                                                                                                                                                 : "not_seen");
         return is_over;
     });
-    if (forgotten > 0)
+    if (removed > 0)
         this->hooks.on_change();
 }
 
--- a/Libraries/LibRouter/StreamingRequestHandler.cpp
+++ b/Libraries/LibRouter/StreamingRequestHandler.cpp
@@ -195,7 +195,7 @@
             continue;
         this->failed_engines.push_back(engines[i]);
         for (std::size_t taken = 0; taken < i; ++taken)
-            this->state.limiter->give_back(engines[taken]);
+            this->state.limiter->return_turn(engines[taken]);
         co_return false;
     }
     co_return true;
--- a/Services/NodeServer/Node.cpp
+++ b/Services/NodeServer/Node.cpp
@@ -111,13 +111,13 @@
         members.seeds.push_back("tcp://" + seed);
     members.heartbeat_interval = HEARTBEAT;
     this->membership = std::make_unique<MembershipService>(
-        members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->hear_of_configuration(endpoint, version); });
-    this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->hear_of_upstreams(endpoint, version); });
+        members, *this->kernel, [this] { return this->state.routes ? this->state.routes->version() : 0; }, [this](auto const& endpoint, auto version) { this->relay->handle_configuration_version(endpoint, version); });
+    this->membership->set_upstreams_hooks([this] { return this->state.upstreams.version(); }, [this](auto const& endpoint, auto version) { this->relay->handle_upstreams_version(endpoint, version); });
     this->membership->set_evacuation_hooks([this]() -> EvacuationTable const& { return this->state.upstreams.evacuations(); }, [this](auto const& news) { this->adopt_evacuations(news, "heartbeat"); });
     this->relay = std::make_unique<RegistryRelay>(RegistryRelay::Options { this->settings.data_centre }, *this->kernel, this->state.upstreams, this->relay_hooks());
     this->membership->set_data_centre_of([](MemberRecord const& member) { return RegistryRelay::data_centre_of(member); });
-    KeeperRanking::Hooks ranking_hooks;
-    ranking_hooks.confined_to = [this]() -> std::optional<std::vector<std::string>> {
+    VirtualMachineRanking::Hooks ranking_hooks;
+    ranking_hooks.partition_members = [this]() -> std::optional<std::vector<std::string>> {
         if (!this->membership->is_cut_off())
             return {};
         return this->kernel->directory().virtual_machines_with(this->relay->service());
@@ -156,10 +156,10 @@
     this->serve_metrics();
 
     RegistryFollower::Options follow;
-    follow.spread = spread_of(this->settings.virtual_machine);
+    follow.retry_seed = spread_of(this->settings.virtual_machine);
     this->follower = std::make_unique<RegistryFollower>(follow, this->loop, this->adapters.registry, this->hooks());
     if (this->settings.role_changes == NodeSettings::RoleChanges::On)
-        this->keep_roles();
+        this->create_role_controller();
     this->kernel->start();
     this->relay->start();
     this->membership->start();
@@ -167,8 +167,8 @@
     this->quota->start();
     this->quarantine->start();
     this->placement_service->start();
-    if (this->roles)
-        this->roles->start();
+    if (this->role_controller)
+        this->role_controller->start();
     this->prompt_cache_fetcher->start();
     this->follower->start();
     this->kernel->every(seconds(1), [this] { this->every_second(); });
@@ -176,18 +176,18 @@
     return Done {};
 }
 
-void Node::keep_roles()
+void Node::create_role_controller()
 {
-    RoleKeeper::Options options;
+    RoleController::Options options;
     options.lease.length = std::max(this->settings.lease_time, SHORTEST_LEASE);
-    RoleKeeper::Hooks hooks;
+    RoleController::Hooks hooks;
     hooks.is_keeper = [this] { return !this->is_stopping && this->state.routes && this->membership->is_settled() && this->placement->is_keeper(); };
     hooks.engine_states = [this] { return this->placement_service->engine_states(); };
     hooks.on_change = [this] { this->engines_changed(); };
-    this->roles = std::make_unique<RoleKeeper>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
+    this->role_controller = std::make_unique<RoleController>(options, this->state, this->adapters.leases, this->kernel->incarnation(), std::move(hooks));
     PlacementService::Hooks placement_hooks;
-    placement_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->roles->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
-    placement_hooks.is_changing_role = [this](std::string_view engine) { return this->roles->is_changing(engine); };
+    placement_hooks.on_first_ask = [this](PlacementAsk const& ask) { this->role_controller->note_request(ask.model, ask.prompt_tokens, ask.expected_output_tokens); };
+    placement_hooks.is_changing_role = [this](std::string_view engine) { return this->role_controller->is_changing(engine); };
     this->placement_service->set_hooks(std::move(placement_hooks));
 }
 
@@ -205,16 +205,16 @@
     return this->membership->count().share_of_each();
 }
 
-QuotaCounter::VirtualMachines Node::count_virtual_machines() const
+QuotaCounter::MembershipCounts Node::count_virtual_machines() const
 {
-    QuotaCounter::VirtualMachines count;
+    QuotaCounter::MembershipCounts count;
     // A VM that is only suspected may be the other side of a cut, which gives out its part as well.
     auto const seen = this->membership->count();
     count.live = std::max<std::size_t>(1, seen.live);
     count.lost = seen.missing;
     // Where all start for the first time nobody has forgotten anything.
     if (this->settings.start == NodeSettings::Start::Again)
-        count.young = this->membership->count_started_after(unix_milliseconds() - to_milliseconds(this->settings.quota_window));
+        count.recently_started = this->membership->count_started_after(unix_milliseconds() - to_milliseconds(this->settings.quota_window));
     return count;
 }
 
@@ -236,10 +236,10 @@
 
 void Node::create_quarantine()
 {
-    this->quarantine = std::make_unique<QuarantineKeeper>(QuarantineKeeper::Options {}, *this->kernel, this->placement->ranking(), this->adapters.quarantine, this->loop);
+    this->quarantine = std::make_unique<ReplicatedQuarantine>(ReplicatedQuarantine::Options {}, *this->kernel, this->placement->ranking(), this->adapters.quarantine, this->loop);
     this->crash_analyzer = std::make_unique<CrashAnalyzer>(CrashAnalyzer::Options {}, *this->quarantine, this->loop);
     this->crash_reporter = std::make_unique<CrashReporter>(CrashReporter::Options {}, *this->kernel, this->placement->ranking(), *this->quarantine, *this->crash_analyzer);
-    this->membership->set_quarantine_hooks([this] { return this->quarantine->digest(); }, [this](auto const& endpoint, auto digest) { this->quarantine->hear_of(endpoint, digest); });
+    this->membership->set_quarantine_hooks([this] { return this->quarantine->digest(); }, [this](auto const& endpoint, auto digest) { this->quarantine->handle_digest(endpoint, digest); });
     this->state.quarantine = this->quarantine.get();
     this->state.crashes = this->crash_reporter.get();
 }
@@ -253,7 +253,7 @@
     auto& ranking = this->placement->ranking();
     this->limit_counter = std::make_unique<UpstreamLimitCounter>(*this->kernel, ranking, this->upstream_limits, std::move(hooks));
     this->limiter = std::make_unique<UpstreamLimiter>(UpstreamLimiter::Options {}, *this->kernel, ranking, this->upstream_limits, *this->limit_counter);
-    this->membership->set_upstream_limits_hooks([this] { return this->limiter->digest(); }, [this](auto const& endpoint, auto digest) { this->limiter->hear_of(endpoint, digest); });
+    this->membership->set_upstream_limits_hooks([this] { return this->limiter->digest(); }, [this](auto const& endpoint, auto digest) { this->limiter->handle_digest(endpoint, digest); });
     this->state.limiter = this->limiter.get();
 }
 
@@ -285,7 +285,7 @@
         this->state.upstreams.replace(snapshot.listed, snapshot.position, monotonic_now());
         LogLine("upstreams_read").with("count", static_cast<std::int64_t>(snapshot.listed.size())).with("version", this->state.upstreams.version()).with("position", snapshot.position);
         this->engines_changed();
-        this->relay->tell();
+        this->relay->publish();
     };
     hooks.on_upstream_news = [this](UpstreamNews const& news) {
         for (auto const& change : news.changes) {
@@ -295,19 +295,19 @@
             this->state.upstreams.apply(change, monotonic_now());
         }
         this->engines_changed();
-        this->relay->tell();
+        this->relay->publish();
     };
     hooks.on_upstreams_state = [this](auto registry) {
         // One that the registry turns away and others tell of it knows as much as one that leaves watching to them.
-        if (registry == UpstreamList::RegistryState::Available || !this->relay->is_told())
+        if (registry == UpstreamList::RegistryState::Available || !this->relay->has_recent_update())
             this->state.upstreams.note_registry(registry, monotonic_now());
     };
     hooks.on_call = [this](auto what, auto result) {
         this->metrics.increment("spurtide_registry_calls_total", "Calls to the registry by what they were for and how they ended", { { "what", std::string(what) }, { "result", std::string(result) } });
     };
     hooks.watches = [this] { return this->relay->watches(); };
-    hooks.gathering = [this] { return this->relay->gathering(this->settings.news_time); };
-    hooks.longest_pause = [this](Duration usual) { return this->relay->longest_pause(usual); };
+    hooks.batching_delay = [this] { return this->relay->batching_delay(this->settings.news_time); };
+    hooks.maximum_retry_interval = [this](Duration usual) { return this->relay->maximum_retry_interval(usual); };
     hooks.upstreams_version = [this] { return this->state.upstreams.version(); };
     return hooks;
 }
@@ -344,11 +344,11 @@
     http.idle_timeout = limits.idle_timeout;
     this->callers->set_limits(http);
     this->state.routes = std::make_shared<RouteTable const>(decoded.release_value());
-    this->relay->keep(found);
+    this->relay->set_document(found);
     this->adopt_accounts();
     LogLine("configuration_in_force").with("version", this->state.routes->version()).with("before", known).with("source", source).with("routes", static_cast<std::int64_t>(this->state.routes->configuration().routes.size()));
     this->engines_changed();
-    this->relay->tell();
+    this->relay->publish();
     this->membership->spread_news();
 }
 
@@ -378,7 +378,7 @@
         LogLine(event).with("evacuated", change.data_centre).with("version", change.version).with("source", source).with("upstreams", static_cast<std::int64_t>(this->count_upstreams(change.data_centre)));
     }
     this->engines_changed();
-    this->relay->tell();
+    this->relay->publish();
     this->membership->spread_news();
 }
 
--- a/Services/NodeServer/Node.h
+++ b/Services/NodeServer/Node.h
@@ -9,12 +9,12 @@
 #include <LibRouter/PlacementClient.h>
 #include <LibRouter/PlacementService.h>
 #include <LibRouter/PromptCacheFetcher.h>
-#include <LibRouter/QuarantineKeeper.h>
 #include <LibRouter/QuotaClient.h>
 #include <LibRouter/RegistryFollower.h>
 #include <LibRouter/RegistryRelay.h>
+#include <LibRouter/ReplicatedQuarantine.h>
 #include <LibRouter/RequestRouter.h>
-#include <LibRouter/RoleKeeper.h>
+#include <LibRouter/RoleController.h>
 #include <LibRouter/RouterState.h>
 #include <LibRouter/UpstreamLimiter.h>
 #include <LibWire/Kernel.h>
@@ -72,11 +72,11 @@
     /// This VM's part of the retry budgets' allowance; nothing while it may have used it before a start, or does not know
     /// yet how many share it.
     double retry_allowance_part() const;
-    QuotaCounter::VirtualMachines count_virtual_machines() const;
+    QuotaCounter::MembershipCounts count_virtual_machines() const;
     void create_quota();
     void create_quarantine();
     void create_limiter();
-    void keep_roles();
+    void create_role_controller();
     RegistryFollower::Hooks hooks();
     RegistryRelay::Hooks relay_hooks();
     void adopt(ConfigurationDocument const& document, std::string_view source);
@@ -107,12 +107,12 @@
     UpstreamLimitTable upstream_limits;
     std::unique_ptr<UpstreamLimitCounter> limit_counter;
     std::unique_ptr<UpstreamLimiter> limiter;
-    std::unique_ptr<QuarantineKeeper> quarantine;
+    std::unique_ptr<ReplicatedQuarantine> quarantine;
     std::unique_ptr<CrashAnalyzer> crash_analyzer;
     std::unique_ptr<CrashReporter> crash_reporter;
     std::unique_ptr<PlacementService> placement_service;
     /// Empty where engines keep the roles that they have.
-    std::unique_ptr<RoleKeeper> roles;
+    std::unique_ptr<RoleController> role_controller;
     std::unique_ptr<PromptCacheFetcher> prompt_cache_fetcher;
     std::unique_ptr<RegistryFollower> follower;
     std::unique_ptr<HttpServer> callers;
